--- a/dispatch/calm.go
+++ b/dispatch/calm.go
@@ -6,51 +6,53 @@
 	"time"
 )
 
-// Figures of crashes that are told apart from others.
+// Limits for telling crashes of workers apart. A crash is isolated if no other VM's worker
+// crashed at about the same time; the crash rate is low if few others crashed before it.
 const (
-	// sameMoment is how far apart crashes are noticed that may have one cause outside
-	// of the workers: a broken poll is noticed at once, the next one up to 0.2 s later.
+	// simultaneousWindow is the time between detections of crashes that may have one cause
+	// outside the workers: a broken poll is detected at once, the next one up to 0.2 s later.
 	sameMoment = 300 * time.Millisecond
-	// othersNoticed after a crash, others of the same moment have been noticed.
+	// detectionDelay after a crash, all others at about the same time have been detected.
 	othersNoticed = time.Second
-	// calmTime without crashes of other workers, a crash is not by chance at a run that
-	// had just begun.
+	// crashRateWindow is the time before a crash in which crashes of other workers count
+	// towards the crash rate. If that is low, a recently started run was not there by chance.
 	calmTime = youngAtCrash
-	// calmShare is the part of the VMs that may crash in calmTime while that holds.
+	// lowCrashShare is the share of the VMs that may crash within crashRateWindow for the
+	// crash rate to be low.
 	calmShare = 0.05
-	// calmPatience is how long the last start of a task waits for other workers to stop
-	// crashing.
+	// lowCrashRateWait is how long the last start of a task waits for a low crash rate.
 	calmPatience = 10 * time.Second
 )
 
-// crashRecord is a crash that was counted.
+// crashRecord is a counted crash of a VM's worker.
 type crashRecord struct {
 	at time.Duration
-	// tasks are those of which a run had just begun there.
+	// tasks are those with a recently started run there.
 	tasks []string
-	// explained is set if one of these was given up.
+	// explained is set if one of these tasks was given up as the cause.
 	explained bool
 }
 
-// crashComparison is a crash of which it is not known yet whether others came with it.
+// crashComparison is a crash that is still to be compared with others near it in time.
 type crashComparison struct {
 	task  *task
 	run   uint64
 	trial bool
 	vm    string
-	// at is when its worker fell silent, due when others have been noticed.
+	// at is when its worker fell silent; due is when other crashes near it have been detected.
 	at, due time.Duration
 }
 
-// compareLater has a crash compared with others once these have been noticed.
+// scheduleComparison schedules the comparison of a crash with others for when these have
+// been detected.
 func (c *Core) compareLater(t *task, vm string, l lostLife, r LostRun) {
 	x := crashComparison{task: t, run: r.Run, trial: r.Trial, vm: vm, at: l.loss.since, due: l.loss.since + othersNoticed}
 	t.comparedAt = max(t.comparedAt, x.due)
 	c.comparisons = append(c.comparisons, x)
 }
 
-// compareCrashes tells crashes apart from others of which all has been noticed, and gives up
-// the tasks of which that proves that they crash their workers.
+// compareCrashes compares the crashes that are due with others near them, and gives up
+// the tasks that are thereby proven to crash their workers.
 func (c *Core) compareCrashes(now Instant) {
 	var due []crashComparison
 	c.comparisons = slices.DeleteFunc(c.comparisons, func(x crashComparison) bool {
@@ -62,7 +64,7 @@
 	})
 	near := crashesNear{}
 	for _, x := range due {
-		if near.vm != x.vm || near.at != x.at { // those of one worker come together
+		if near.vm != x.vm || near.at != x.at { // comparisons of one worker are adjacent
 			near = c.crashesNear(x.vm, x.at)
 		}
 		c.compareCrash(x, near, now)
@@ -75,19 +77,19 @@
 	if j.progress.State.Final() || t.phase == phaseDone {
 		return
 	}
-	alone, calm := near.alone(t), c.calm(t, near)
+	isolated, lowRate := near.alone(t), c.calm(t, near)
 	d := taskDecision("crash_compared", t, nil, x.run, "")
-	d.Detail = fmt.Sprintf("its worker crashed alone %v, few others crashed before %v", alone, calm)
+	d.Detail = fmt.Sprintf("its worker crashed alone %v, few others crashed before %v", isolated, lowRate)
 	c.trace(d)
-	if !alone || !j.progress.CrashAlone(t.id(), x.run) {
+	if !isolated || !j.progress.CrashAlone(t.id(), x.run) {
 		return
 	}
 	c.touch(j)
-	c.giveUpIfCrasher(t, x.trial && calm, now)
+	c.giveUpIfCrasher(t, x.trial && lowRate, now)
 }
 
-// crashesNear holds the crashes of VMs but one in the time before a moment, without those
-// that a task which was given up explains.
+// nearbyCrashes holds the crashes shortly before or at a time on all VMs but one, without
+// those explained by a task that was given up.
 type crashesNear struct {
 	vm     string
 	at     time.Duration
@@ -113,8 +115,8 @@
 	return near
 }
 
-// count returns how many of the crashes came after a moment, without those where a run of
-// the task had just begun.
+// count returns how many of the crashes came at the given time or later, without those where
+// a run of the task had recently started.
 func (n crashesNear) count(t *task, from time.Duration) int {
 	count, name := 0, t.id().String()
 	for _, r := range n.others {
@@ -125,19 +127,19 @@
 	return count
 }
 
-// alone reports whether no other VM's worker crashed at the same moment: else something
-// else may crash workers, and a crash proves less of a task.
+// isolated reports whether no other VM's worker crashed within simultaneousWindow. Otherwise
+// something else may crash workers, and the crash proves less about the task.
 func (n crashesNear) alone(t *task) bool { return n.count(t, n.at-sameMoment) == 0 }
 
-// calm reports whether few other VMs' workers crashed in the time before a moment. A run
-// that had just begun may have met one of many by chance. What crashed before this owner's
-// term is not known.
+// lowCrashRate reports whether at most lowCrashShare of the VMs had another worker crash in
+// the crashRateWindow before a time. If many crash, a recently started run may be at one of
+// them by chance. The rate is unknown, and not low, if the window began before this owner's term.
 func (c *Core) calm(t *task, near crashesNear) bool {
 	known := near.at-calmTime >= c.firstRenewed
 	return known && float64(near.count(t, near.at-calmTime)) <= calmShare*float64(len(c.lives))
 }
 
-// calmNow is calm for the present moment.
+// lowCrashRateNow is lowCrashRate for the present time.
 func (c *Core) calmNow(t *task, now Instant) bool {
 	if c.nearNow.at != now.Steady {
 		c.nearNow = c.crashesNear("", now.Steady)
@@ -145,7 +147,7 @@
 	return c.calm(t, c.nearNow)
 }
 
-// explainCrashes notes that a task which was given up has caused crashes.
+// markExplained marks the crashes that a task which was given up explains.
 func (c *Core) explainCrashes(t *task) {
 	name := t.id().String()
 	for vm, r := range c.crashed {
--- a/dispatch/crash.go
+++ b/dispatch/crash.go
@@ -5,26 +5,25 @@
 	"time"
 )
 
-// Figures of crashes of workers.
+// Limits for telling a worker's crash from other ends.
 const (
-	// brokenWithin the first call without an answer, a refused or broken connection
-	// says that the worker's process ended then. A worker that is cut off is silent
-	// for longer.
+	// brokenConnWindow is the time from the first unanswered call within which a refused or
+	// broken connection means that the worker's process ended then. A worker that is cut off
+	// stays silent for longer.
 	brokenWithin = time.Second
-	// rackLostWithin is how far apart workers of one rack fall silent that are lost
-	// with it.
+	// rackLossWindow is the time within which workers of one rack fall silent if the rack
+	// is lost.
 	rackLostWithin = time.Second
-	// youngAtCrash: a run that has worked for so long at a worker that answers did
-	// not crash it by its start.
+	// startCrashWindow is the time after its start in which a run may crash its worker by
+	// that start. A run that works longer at a worker that answers did not.
 	youngAtCrash = 5 * time.Second
 )
 
-// contactLoss is what is known of a worker's silence since its newest answer.
+// contactLoss describes a worker's silence since its newest answer.
 type contactLoss struct {
-	// since is when the first call without an answer was given up, 0 while there
-	// is none.
+	// since is when the first unanswered call was given up, 0 if there is none.
 	since time.Duration
-	// broken is set if a connection was refused or broken off by then.
+	// broken is set if a connection was refused or broken within brokenConnWindow of since.
 	broken bool
 }
 
@@ -39,14 +38,15 @@
 	}
 }
 
-// lifeEnd is how a worker's life ended. Only a crash says anything of the tasks there.
+// incarnationEnd is how an incarnation, one run of a worker's process, ended. Only a crash
+// may be caused by the tasks there.
 type lifeEnd uint8
 
 const (
 	endCrashed lifeEnd = iota
 	endDrained
 	endUpkeep
-	// endSilent: it was cut off before its life ended, or lost power.
+	// endSilent: it was cut off before it ended, or lost power.
 	endSilent
 	endRackLost
 )
@@ -56,9 +56,9 @@
 	return [...]string{"crashed", "drained", "upkeep", "was silent before", "lost with its rack"}[e]
 }
 
-// howEnded tells how a life ended of which it is known that it did. One that ended
-// between two answers, or so soon after the first call without one that this may have
-// been lost on its way, crashed too.
+// classifyEnd returns how an incarnation ended that is known to have ended. One that ended
+// between two answers, or so soon after the first unanswered call that this call may have
+// been lost on the way, counts as crashed.
 func (c *Core) howEnded(w *worker, now Instant) lifeEnd {
 	switch {
 	case w.info.Draining || w.leavesAt > 0:
@@ -90,8 +90,9 @@
 	return len(lost) >= 2 && 2*len(lost) > len(all)
 }
 
-// silentWith reports whether the worker of a VM fell silent at a moment, or one before
-// it did. Of one without tasks, which was not polled, only its next life tells.
+// fellSilentWith reports whether the worker of a VM fell silent at about the given time, or
+// an earlier incarnation on that VM did. A worker without tasks is not polled; for it, a next
+// incarnation that became known after that time is the only evidence.
 func (c *Core) silentWith(w *worker, at time.Duration) bool {
 	near := func(t time.Duration) bool { return (t - at).Abs() <= rackLostWithin }
 	before, known := c.fellSilent[w.info.VM]
@@ -105,9 +106,9 @@
 	}
 }
 
-// youngRuns returns the runs at a worker of which one may have crashed it by its
-// start: those that had not worked there for long when it last answered, and whose
-// start was sent before it was known to be silent.
+// recentRuns returns the runs that may have crashed the worker by their start: those started
+// less than startCrashWindow before its last answer, whose start was sent before it was
+// known to be silent.
 func (w *worker) youngRuns() []*attempt {
 	var list []*attempt
 	for _, a := range w.attempts {
@@ -119,17 +120,18 @@
 	return list
 }
 
-// tellEnded logs how a life ended that had tasks, and which may have crashed it.
-func (c *Core) tellEnded(w *worker, how lifeEnd, young []*attempt, now Instant) {
+// logIncarnationEnd logs how an incarnation with tasks ended, and which runs may have
+// crashed it.
+func (c *Core) tellEnded(w *worker, how lifeEnd, recent []*attempt, now Instant) {
 	c.trace(Decision{
 		Event: "worker_ended", Worker: w.info.ID, Reason: how.String(), Age: now.Steady - w.heardAt,
-		Detail: fmt.Sprintf("%d runs, %d of them young", len(w.attempts), len(young)),
+		Detail: fmt.Sprintf("%d runs, %d of them started recently", len(w.attempts), len(recent)),
 	})
 	if how != endCrashed {
 		return
 	}
 	c.stats.Crashes++
-	for _, a := range young {
+	for _, a := range recent {
 		d := taskDecision("run_in_crash", a.task, w, a.run, "started shortly before its worker crashed")
 		d.Age = max(w.heardAt-a.started, 0)
 		c.trace(d)
--- a/dispatch/lives.go
+++ b/dispatch/lives.go
@@ -10,7 +10,8 @@
 // bornSeparator can't be part of a worker's id, which is sent as a header.
 const bornSeparator = " "
 
-// LifeID names the life of a worker that began at a Unix millisecond; 0 is not known.
+// IncarnationID names an incarnation, one run of a worker's process, by the worker's id and
+// the Unix millisecond when it started; 0 if that is not known.
 func LifeID(name string, born int64) WorkerID {
 	if born == 0 {
 		return WorkerID(name)
@@ -18,7 +19,7 @@
 	return WorkerID(name + bornSeparator + strconv.FormatInt(born, 10))
 }
 
-// split returns the worker's id and when its life was born.
+// split returns the worker's id and when the incarnation started.
 func (id WorkerID) split() (name string, born int64) {
 	name, text, ok := strings.Cut(string(id), bornSeparator)
 	if !ok {
@@ -31,21 +32,21 @@
 	return name, born
 }
 
-// Name returns the worker's id, which its next life may have too.
+// Name returns the worker's id, which the next incarnation may share.
 func (id WorkerID) Name() string {
 	name, _ := id.split()
 	return name
 }
 
-// Born returns when the life was born, in Unix milliseconds by the worker's own clock; 0 if
-// that is not known. Of two lives the later one may tell the earlier time.
+// Born returns when the incarnation started, in Unix milliseconds by the worker's own clock; 0
+// if that is not known. The later of two incarnations may report the earlier time.
 func (id WorkerID) Born() int64 {
 	_, born := id.split()
 	return born
 }
 
-// mayBe reports whether two names may be of one life: of one that is not known to be born,
-// any of its name.
+// mayMatch reports whether two names may be of one incarnation: one without a start time may
+// be any of its worker's id.
 func (id WorkerID) mayBe(other WorkerID) bool {
 	if id == other {
 		return true
@@ -53,30 +54,30 @@
 	return id.Name() == other.Name() && (id.Born() == 0 || other.Born() == 0)
 }
 
-// TokensPerTerm is how many fencing tokens a term has: the term, and those above it for
-// further lives of a worker under one id. The next term is at least so much higher.
+// TokensPerTerm is how many fencing tokens a term has: the term itself, and those above it for
+// further incarnations under one worker's id. The next term is at least this much higher.
 const TokensPerTerm = 256
 
-// namesakes are the lives of one worker's id.
+// sameIDIncarnations are the incarnations under one worker's id.
 type namesakes struct {
-	lives []*worker // those that the owner knows
-	// newest is the one that was heard of last, generation how often that has changed.
+	lives []*worker // those that the owner has a record of
+	// newest is the one that was found last, generation how often that has changed.
 	newest     WorkerID
 	generation uint64
 }
 
-// tokenOf returns the fencing token of calls to a worker. It rises with each life that is
-// heard of under the worker's id, since calls name the id only: once a life has answered a
-// call, it refuses those that were sent before that life was known.
+// tokenOf returns the fencing token of calls to a worker. It rises with each incarnation that
+// is found under the worker's id, since calls name only the id: once an incarnation has
+// answered a call, it refuses those sent before it was known.
 func (c *Core) tokenOf(w *worker) uint64 {
 	n := c.names[w.info.ID.Name()]
 	if n == nil {
-		return c.term // it was forgotten meanwhile
+		return c.term // it was dropped meanwhile
 	}
 	return c.term + min(n.generation, TokensPerTerm-1)
 }
 
-// joinName takes in a life among those of its name.
+// addToName adds an incarnation to those under its worker's id.
 func (c *Core) joinName(w *worker) {
 	id := w.info.ID
 	n := c.names[id.Name()]
@@ -89,14 +90,14 @@
 		n.generation++
 	}
 	if n.generation >= TokensPerTerm {
-		c.trace(Decision{Event: "deposed", Worker: id, Reason: "the term has no token left for its next life"})
+		c.trace(Decision{Event: "deposed", Worker: id, Reason: "the term has no fencing token left for its next incarnation"})
 		c.deposed = true
 	}
 	w.follows = n.generation > 0
 	n.lives = append(n.lives, w)
 }
 
-// leaveName is the opposite of joinName. The token stays what it was.
+// removeFromName is the opposite of addToName. The token stays unchanged.
 func (c *Core) leaveName(w *worker) {
 	name := w.info.ID.Name()
 	n := c.names[name]
@@ -106,7 +107,7 @@
 	}
 }
 
-// otherLives returns the other lives that are known of a worker's id and of its VM.
+// otherIncarnations returns the other known incarnations under a worker's id and on its VM.
 func (c *Core) otherLives(w *worker) []*worker {
 	var list []*worker
 	for _, known := range [][]*worker{c.names[w.info.ID.Name()].lives, c.lives[w.info.VM]} {
@@ -119,7 +120,7 @@
 	return list
 }
 
-// namesake returns the life that has followed one under its id, as far as is known.
+// successor returns the incarnation that follows a worker under its id, as far as is known.
 func (c *Core) namesake(w *worker) *worker {
 	n := c.names[w.info.ID.Name()]
 	if next := c.workers[n.newest]; next != nil && next != w {
@@ -133,22 +134,22 @@
 	return nil
 }
 
-// restarted takes in that a poll was answered by another life than the one it was sent to,
-// under the same id.
+// handleRestart handles a poll that was answered by another incarnation, under the same id,
+// than the one it was sent to.
 func (c *Core) restarted(w *worker, reply HoldReply, now Instant) {
 	id := LifeID(w.info.ID.Name(), reply.Born)
 	c.stats.Restarts++
 	c.trace(Decision{
 		Event: "worker_restarted", Worker: id, Reason: "before: " + string(w.info.ID),
-		Detail: fmt.Sprintf("clock %d after %d, %d ends listed, %d taken in before", reply.ClockMS, w.clock, len(reply.Ended), w.processed),
+		Detail: fmt.Sprintf("clock %d after %d, %d ends listed, %d processed before", reply.ClockMS, w.clock, len(reply.Ended), w.processed),
 	})
 	c.addNextLife(w, id, now)
 	c.names[id.Name()].newest = id
 	c.lifeOver(w, "another life answers under its id", now)
 }
 
-// addNextLife takes in the life that has followed one under its id, unless it is known, or
-// known to be over too.
+// addSuccessor adds the incarnation that follows a worker under its id, unless it is known
+// or has ended too.
 func (c *Core) addNextLife(w *worker, id WorkerID, now Instant) {
 	if c.over[id] || c.workers[id] != nil {
 		return
@@ -156,11 +157,12 @@
 	info := w.info
 	info.ID, info.Draining, info.Leaving = id, false, 0
 	c.addWorker(info, now)
-	c.roster.want(info) // what the entry of the life before stands for may run here
+	c.roster.want(info) // what the previous incarnation's entry lists may run here
 }
 
-// inherit hands on what may be carried out by the next life of a worker's id: calls name the
-// id only. Runs that the life before has listed ended with it, if that was another one.
+// transferRuns transfers the runs that the next incarnation under a worker's id may carry out,
+// since calls name only the id. Runs that the previous incarnation has listed ended with it,
+// if its start time is known: without that, the next one may be the same.
 func (c *Core) inherit(w, next *worker) {
 	for _, a := range slices.Clone(w.attempts) {
 		if !a.unsent && (!a.listed || w.info.ID.Born() == 0) {
@@ -174,8 +176,8 @@
 	c.inheritUnresolved(w, next)
 }
 
-// attemptAt returns a task's attempt if it is this run, at this worker. One that was ordered
-// of another life of the worker's id is this life's.
+// attemptAt returns a task's attempt if it is this run, at this worker. One that was sent to
+// another incarnation under the worker's id is transferred to this one.
 func (t *task) attemptAt(w *worker, run uint64) *attempt {
 	a := t.attempt
 	switch {
@@ -191,30 +193,30 @@
 	}
 }
 
-// doubtEnds keeps new tasks off a life that may have been sent an acknowledgement meant for the
-// one before. It may forget as many of its own ends before they are read: of a run that it no
-// longer lists nobody could tell whether it is done.
+// excludeForAcknowledgement keeps new tasks off an incarnation that may have received an
+// acknowledgement meant for the previous one. It may forget as many of its own ends before they
+// are read, and nothing would show whether a run that it no longer lists is done.
 func (c *Core) doubtEnds(w, next *worker) {
 	if w.ackUnanswered == 0 || next.endsDoubted {
 		return
 	}
 	next.endsDoubted = true
 	c.trace(Decision{
-		Event: "ends_doubted", Worker: next.info.ID, Reason: "an acknowledgement meant for the life before was not answered by it",
+		Event: "ends_doubted", Worker: next.info.ID, Reason: "an acknowledgement meant for the previous incarnation was not answered by it",
 		Detail: fmt.Sprintf("of ends up to %d", w.ackUnanswered),
 	})
 }
 
-// lifeDoubted reports whether a worker may have restarted under its id since it answered, and
-// another owner may be there. The next life knows of no terms: it would carry out a start of
-// this owner though the other one has read the life before. An answer may be read long after it
-// was given, so what counts is when its poll was sent.
+// mayHaveRestarted reports whether a worker may have restarted under its id since it answered
+// while another owner may be active. The next incarnation has no record of terms: it would
+// carry out a start of this owner although the other owner has read the previous incarnation.
+// An answer may be read long after it was given, so the time when its poll was sent counts.
 func (c *Core) lifeDoubted(w *worker, now Instant) bool {
 	return !c.certain(now) && w.info.ID.Born() != 0 && now.Steady-w.answeredSent > lifeFresh
 }
 
-// moveTo makes an attempt one of the next life's. Whether it runs there is told by the
-// lists that are read under that life's own terms.
+// moveTo moves an attempt to the next incarnation. The lists that are read under that one's
+// own terms show whether it runs there.
 func (a *attempt) moveTo(next *worker) {
 	w, s := a.worker, a.task.step
 	w.remove(a)
@@ -229,9 +231,9 @@
 	next.add(a)
 }
 
-// inheritUnresolved hands on that the previous owner may have ordered tasks of a life, unless
-// the next one's lists were read already. If the life was lost unheard, these tasks may have
-// crashed it.
+// transferUnresolved transfers to the next incarnation the tasks that the previous owner may
+// have sent to this one, unless the next one's lists were already read. If this one was lost
+// before its lists were read, these tasks may have crashed it.
 func (c *Core) inheritUnresolved(w, next *worker) {
 	from := w.info.ID
 	u, ok := c.unresolved[from]
--- a/dispatch/lostlife.go
+++ b/dispatch/lostlife.go
@@ -5,48 +5,48 @@
 	"time"
 )
 
-// Figures of lives that were lost.
+// Limits for lost incarnations.
 const (
-	// lostLifeKept bounds the wait for the next life of a VM whose worker was lost.
+	// lostIncarnationKept bounds the wait for the next incarnation on a VM whose worker was lost.
 	lostLifeKept = time.Minute
-	// crashedLately is how long suspects avoid a VM whose worker has crashed: it may
-	// be the VM's own fault.
+	// crashedVMAvoidance is how long suspects avoid a VM whose worker has crashed: the VM
+	// itself may be faulty.
 	crashedLately = 30 * time.Second
 )
 
-// LostRun is a run that was young when its worker fell silent.
+// LostRun is a run that had recently started when its worker fell silent.
 type LostRun struct {
 	Task string `json:"task"`
 	Run  uint64 `json:"run"`
-	// Trial is set if the run was the only one that can have crashed the worker.
+	// Trial is set if no other run can have crashed the worker.
 	Trial bool `json:"trial,omitempty"`
-	// Older is set if another run was started justStarted later or more: that one is
-	// likelier to have crashed the worker.
+	// Older is set if another run was started at least recentStartWindow later: that one
+	// is likelier to have crashed the worker.
 	Older bool `json:"older,omitempty"`
-	// Unconfirmed is set if nothing told that the worker had begun the run.
+	// Unconfirmed is set if there is no evidence that the worker had started the run.
 	Unconfirmed bool `json:"unconfirmed,omitempty"`
 }
 
-// unsure reports whether the crash proves nothing of the run.
+// inconclusive reports whether the crash proves nothing about the run.
 func (r LostRun) unsure() bool { return r.Older || r.Unconfirmed }
 
-// lostLife is a life of a worker whose leases were over before it was known how it
+// lostIncarnation is an incarnation whose leases expired before it was known how it
 // ended. Its runs are unsettled until the VM answers again.
 type lostLife struct {
 	id  WorkerID
 	end lifeEnd
-	// busy is set if it had tasks, so that this owner polled it.
+	// busy is set if it had tasks, and was therefore polled by this owner.
 	busy bool
 	loss contactLoss
 	runs []LostRun
 	// unsettled is set while its runs count as unsettled at their tasks.
 	unsettled bool
-	// inherited is set if the previous owner's roster tells of it.
+	// inherited is set if it comes from the previous owner's roster or start records.
 	inherited bool
 	at        time.Duration
 }
 
-// taskNames returns the tasks of the life's runs.
+// taskNames returns the tasks of the incarnation's runs.
 func (l lostLife) taskNames() []string {
 	names := make([]string, len(l.runs))
 	for i, r := range l.runs {
@@ -55,19 +55,19 @@
 	return names
 }
 
-// lostRuns returns the young runs at a worker, as they are remembered after it.
+// lostRuns returns the recently started runs at a worker as records that outlive it.
 func (w *worker) lostRuns(now Instant) []LostRun {
-	young := w.youngRuns()
+	recent := w.youngRuns()
 	silentSince := now.Steady
 	if w.loss.since > 0 {
 		silentSince = w.loss.since
 	}
 	newest := time.Duration(0)
-	for _, a := range young {
+	for _, a := range recent {
 		newest = max(newest, a.placedAt)
 	}
-	list := make([]LostRun, 0, len(young))
-	for _, a := range young {
+	list := make([]LostRun, 0, len(recent))
+	for _, a := range recent {
 		list = append(list, LostRun{
 			Task: a.task.id().String(), Run: a.run, Older: newest-a.placedAt >= justStarted, Unconfirmed: !a.confirmed(),
 			Trial: a.trial && a.confirmed() && silentSince-a.placedAt <= trialTime,
@@ -76,14 +76,14 @@
 	return list
 }
 
-// confirmed reports whether the worker has begun the run: it answered or listed it, or the
-// connection of the start's first copy broke off, and no poll was answered since. A call that was
-// only not answered may never have reached the worker.
+// confirmed reports whether the worker has started the run: it answered or listed it, or the
+// connection of the start's first copy was broken and no poll was answered since. A call that
+// merely was not answered may never have reached the worker.
 func (a *attempt) confirmed() bool {
 	return a.ackClock > 0 || a.listed || a.brokenAt > 0 && a.brokenAt >= a.worker.lastAnswer
 }
 
-// lifeOf returns what is remembered of a worker whose runs are about to be lost.
+// lostIncarnationOf returns the record of a worker whose runs are about to be lost.
 func (c *Core) lifeOf(w *worker, now Instant) lostLife {
 	l := lostLife{id: w.info.ID, end: c.howEnded(w, now), busy: len(w.attempts) > 0, loss: w.loss, runs: w.lostRuns(now), at: now.Steady}
 	if l.loss.since == 0 {
@@ -92,8 +92,8 @@
 	return l
 }
 
-// youngForRoster returns the runs of a silent worker that may have crashed it, for the
-// next owner.
+// recentRunsForRoster returns the runs of a silent worker that may have crashed it, as a
+// record for the next owner.
 func (c *Core) youngForRoster(w *worker) []LostRun {
 	if !w.loss.broken {
 		return nil
@@ -105,17 +105,17 @@
 	return w.lostRuns(silent)
 }
 
-// recoverLost takes in a roster entry's young runs: if the worker's life proves to be
-// over, it crashed under the previous owner.
+// recoverLost records the recently started runs of a roster entry: if the incarnation proves
+// to have ended, it crashed under the previous owner.
 func (c *Core) recoverLost(e RosterEntry, now Instant) {
 	if e.VM != "" && len(e.Young) > 0 {
 		c.lostLives[e.VM] = lostLife{id: e.ID, end: endCrashed, loss: contactLoss{now.Steady, true}, runs: e.Young, inherited: true, at: now.Steady}
 	}
 }
 
-// keepUnsettled remembers the runs of a worker that is lost without a proof that its
-// life has ended. If it crashed, that is known once the VM answers again: by then its
-// tasks run elsewhere, or wait if too many of their runs are unsettled.
+// keepUnsettled keeps the runs of a worker that is lost without proof that its incarnation
+// has ended. Whether it crashed is known once the VM answers again. Until then its tasks
+// run elsewhere, or wait if too many of their runs are unsettled.
 func (c *Core) keepUnsettled(vm string, l lostLife) {
 	if l.end != endCrashed || vm == "" || len(l.runs) == 0 {
 		return
@@ -126,7 +126,7 @@
 	c.addUnsettled(l, 1)
 }
 
-// dropUnsettled forgets the lost life of a VM and returns it.
+// dropUnsettled drops the lost incarnation of a VM and returns it.
 func (c *Core) dropUnsettled(vm string) (lostLife, bool) {
 	l, ok := c.lostLives[vm]
 	if !ok {
@@ -139,7 +139,7 @@
 	return l, true
 }
 
-// addUnsettled changes the numbers of unsettled runs of the tasks of a lost life.
+// addUnsettled changes the number of unsettled runs of each task of a lost incarnation.
 func (c *Core) addUnsettled(l lostLife, change int) {
 	for _, r := range l.runs {
 		if t := c.suspectNamed(r.Task); t != nil {
@@ -148,15 +148,15 @@
 	}
 }
 
-// settleLost concludes what became of a VM's lost life once a worker answers there:
-// the same one has lived on, another one proves a crash.
+// settleLost settles a VM's lost incarnation once a worker answers there: if it is the same
+// incarnation, that one did not end; another one proves a crash.
 func (c *Core) settleLost(w *worker, now Instant) {
 	if l, ok := c.dropUnsettled(w.info.VM); ok && l.id != w.info.ID {
 		c.countCrashes(w.info.VM, l, now)
 	}
 }
 
-// forgetOldCrashes drops what is remembered of VMs for too long.
+// forgetOldCrashes drops records of VMs that are older than their limits.
 func (c *Core) forgetOldCrashes(now Instant) {
 	for vm, l := range c.lostLives {
 		if now.Steady-l.at > lostLifeKept {
@@ -175,21 +175,21 @@
 	}
 }
 
-// noteLostWithOwner notes that the previous owner may have started a task of which
-// nobody tells, while a worker was lost of which this owner has heard nothing. That start
-// proves nothing, and counts for the most that a task is fed once it crashes a worker. Of a
-// suspect, each start is recorded.
+// recordStartLostWithOwner records that the previous owner may have started a task without
+// any record of it, at a worker that was lost before this owner read its lists. That start
+// proves nothing, but counts towards maxCrashes once the task crashes a worker. It applies
+// to tasks without known crashes: each start of a suspect is recorded anyway.
 func (c *Core) noteLostWithOwner(t *task, now Instant) {
 	if t.suspect() == t && t.step.mayHaveBegun(now) && t.step.gangRun == 0 && !t.lastStartKnown && t.crashes == 0 && c.lostInTerm.has(t) {
 		c.addDoubt(t, c.term<<runBits)
 	}
 }
 
-// noteUnclearEnd notes the young runs of a worker whose life ended otherwise than in a crash,
-// as far as is known: it may have crashed and been cut off, or lost others of its rack, at the
-// same moment. Of a suspect, that start counts for the most that a task is fed, but proves
-// nothing; of another task it does once it crashes a worker. Tasks that only were at workers
-// that were cut off are not suspected.
+// recordInconclusiveEnd records the recently started runs of a worker whose incarnation
+// apparently did not crash: it may have crashed and at the same time been cut off, or lost
+// with others of its rack. The start of a suspect counts towards maxCrashes, but proves
+// nothing; that of another task counts once the task crashes a worker. Tasks that only were at
+// workers that were cut off are not suspected.
 func (c *Core) noteUnclearEnd(l lostLife, now Instant) {
 	for _, r := range l.runs {
 		t := c.suspectNamed(r.Task)
@@ -200,7 +200,7 @@
 		switch {
 		case r.unsure():
 		case t.crashes > 0:
-			c.countUnsure(t, r.Run, "it was started shortly before its worker's life ended: "+l.end.String())
+			c.countUnsure(t, r.Run, "it was started shortly before its worker's incarnation ended: "+l.end.String())
 			c.giveUpIfCrasher(t, false, now)
 		default:
 			c.addDoubt(t, r.Run)
@@ -208,10 +208,12 @@
 	}
 }
 
-// mostDoubts of a task are kept: with more, crashes that are sure would not decide.
+// maxPossibleCrashes is how many possible crashes of a task are kept: with more, the
+// proven crashes would not decide.
 const mostDoubts = mostCrashes - crashLimit
 
-// addDoubt notes a run of a task that may have crashed its worker, while no crash is known.
+// addPossibleCrash records a run that may have crashed its worker, of a task without known
+// crashes.
 func (c *Core) addDoubt(t *task, run uint64) {
 	if len(t.doubts) < mostDoubts && !slices.Contains(t.doubts, run) {
 		c.setDoubts(t, append(slices.Clone(t.doubts), run))
@@ -228,8 +230,8 @@
 	t.doubts = runs
 }
 
-// takeDoubts takes in that tasks may have crashed workers which were lost under earlier
-// owners.
+// recoverPossibleCrashes records a possible crash for each task that may have run at workers
+// lost under earlier owners.
 func (c *Core) takeDoubts(j *jobState, now Instant) {
 	if c.lostUnheard.none() {
 		return
--- a/dispatch/startrecord.go
+++ b/dispatch/startrecord.go
@@ -2,25 +2,25 @@
 
 import "leverstile.dev/job"
 
-// unsentStart is a start that is sent once the store knows of it.
+// unsentStart is a start that is sent once the store holds its record.
 type unsentStart struct {
 	attempt    *attempt
 	checkpoint string
 	version    uint64 // of its job's progress
 }
 
-// recordedStart is a start of a previous owner.
+// recordedStart is a start that a previous owner recorded.
 type recordedStart struct {
 	task *task
 	run  uint64
-	// over is set if the life that it was ordered of has ended, end is how.
+	// ended is set if the incarnation that was sent the start has ended; end is how.
 	over bool
 	end  lifeEnd
 }
 
-// recordStart records the start of a task that may crash its worker, so that no owner's end
-// makes the next one forget it. It reports whether the start waits for that: that of a task
-// which is only in doubt does not.
+// recordStart records the start of a task that may crash its worker, so that the next owner
+// has a record of it too. It reports whether the start waits until that is stored: that of a
+// task with possible crashes only does not.
 func (c *Core) recordStart(a *attempt, checkpoint string) (waits bool) {
 	t := a.task.suspect()
 	if t.crashes == 0 && len(t.doubts) == 0 {
@@ -37,11 +37,11 @@
 	return true
 }
 
-// StartsWait reports whether starts wait for the store.
+// HasUnsentStarts reports whether starts wait for the store.
 func (c *Core) StartsWait() bool { return len(c.unsentStarts) > 0 }
 
-// sendRecorded sends the starts that the store knows of by now. One whose worker gets no
-// starts any more is released, as is one that has waited for the store for long.
+// sendRecorded sends the starts that the store holds by now. One that has waited longer than
+// startWindow, or whose worker gets no more starts, is released.
 func (c *Core) sendRecorded(now Instant) {
 	list := c.unsentStarts
 	c.unsentStarts = nil
@@ -63,8 +63,7 @@
 	}
 }
 
-// dropStarts forgets the recorded starts of a task up to a run: it is known what became of
-// them.
+// dropStarts drops the recorded starts of a task up to a run: their outcome is known.
 func (c *Core) dropStarts(t *task, run uint64) {
 	t = t.suspect()
 	j := t.step.job
@@ -73,7 +72,7 @@
 	}
 }
 
-// takeStarts takes in the starts that a previous owner recorded.
+// recoverStarts applies the starts that a previous owner recorded.
 func (c *Core) takeStarts(j *jobState, now Instant) {
 	if len(j.progress.Starts) == 0 {
 		return
@@ -99,13 +98,14 @@
 	case w != nil && w.synced:
 		c.settleStart(w.info.ID, r, now)
 	default:
-		r.over = true // the previous owner has forgotten its life
+		r.over = true // the previous owner has dropped the incarnation
 		c.settleStart(id, r, now)
 	}
 }
 
-// settleStartsOfLife draws the consequences of the end of a life that a previous owner had
-// ordered starts of. The next life of its id may have carried them out: its lists tell.
+// settleStartsOfIncarnation settles the starts that a previous owner sent to an incarnation
+// that has ended. Those that the next incarnation under its id may have carried out wait for
+// its lists.
 func (c *Core) settleStartsOfLife(w, next *worker, end lifeEnd, now Instant) {
 	id := w.info.ID
 	list := c.recordedStarts[id]
@@ -122,22 +122,21 @@
 	}
 }
 
-// settleStarts concludes what became of the starts at a worker of which all is known that
-// can be.
+// settleStarts settles the starts at a worker once everything that can be known of them is.
 func (c *Core) settleStarts(id WorkerID, now Instant) {
 	list := c.recordedStarts[id]
 	delete(c.recordedStarts, id)
 	w := c.workers[id]
 	for _, r := range list {
 		if !r.over && (w == nil || !w.synced) {
-			r.over = true // its leases are over
+			r.over = true // its leases have expired
 		}
 		c.settleStart(id, r, now)
 	}
 }
 
-// settleStart concludes what became of a start: its run is adopted, came to nothing at a
-// worker that lives on, or may have crashed its worker.
+// settleStart settles the outcome of a start: its run is adopted, had no effect at a
+// worker that still runs, or may have crashed its worker.
 func (c *Core) settleStart(id WorkerID, r recordedStart, now Instant) {
 	t := r.task
 	if t.step.job.progress.State.Final() || t.phase == phaseDone || c.adopted(t, r.run) {
@@ -155,7 +154,7 @@
 	}
 }
 
-// adopted reports whether a run of a task, or of its gang, is at work or may be.
+// adopted reports whether a run of a task, or of its gang, is or may be running.
 func (c *Core) adopted(t *task, run uint64) bool {
 	if t.step.spec.Gang {
 		return t.step.gangRun == run
--- a/dispatch/suspect.go
+++ b/dispatch/suspect.go
@@ -7,21 +7,21 @@
 	"leverstile.dev/job"
 )
 
-// Figures of tasks that may crash the workers that start them.
+// Limits for suspects, tasks that may crash the workers that start them.
 const (
-	// crashLimit crashes in a row, the last of them while the task was on trial, a task
-	// is given up if aloneLimit of the workers crashed alone, the last one among them.
-	// Workers also crash by themselves, as many as 15% of them at once: with fewer, tasks
-	// that only were there would be given up too.
+	// crashLimit is the number of crashes in a row after which a task is given up, if the last
+	// came while the task was on trial, and isolatedLimit of them were isolated, the last among
+	// them. Workers also crash for other reasons, up to 15% of them at once: lower limits would
+	// give up tasks that only were at such workers.
 	crashLimit = 3
 	aloneLimit = 2
-	// mostCrashes in a row, a task is given up whatever else crashes: the users allow
+	// maxCrashes in a row, a task is given up whatever else crashes: users allow
 	// two starts after the third crash.
 	mostCrashes = 5
 )
 
-// suspect returns the task that holds what is known of a task's crashes: the first
-// one of a gang, whose members start and end together.
+// suspect returns the task that holds the crash counts of a task: itself, or the first
+// task of its gang, whose members start and end together.
 func (t *task) suspect() *task {
 	if t.step.spec.Gang {
 		return t.step.tasks[0]
@@ -29,15 +29,15 @@
 	return t
 }
 
-// suspicion returns how many workers may have crashed in a row when the task was
-// started.
+// suspectedCrashes returns how many workers in a row may have crashed when the task was
+// started: known crashes, and runs whose worker's fate is unsettled.
 func (t *task) suspicion() int {
 	t = t.suspect()
 	return t.crashes + t.unsettled
 }
 
-// setSuspicion takes in how many crashes of a suspect are known, and how many of its
-// runs are unsettled.
+// setSuspectedCrashes sets the number of known crashes of a suspect and of its unsettled
+// runs, and maintains the counts of suspects.
 func (c *Core) setSuspicion(t *task, crashes, unsettled int) {
 	before := t.crashes+t.unsettled > 0
 	t.crashes, t.unsettled = crashes, max(unsettled, 0)
@@ -53,19 +53,19 @@
 	c.suspects += change
 }
 
-// setCrashes takes in how many crashes of a suspect are known, and has its next start
-// wait until the store knows too.
+// setCrashes sets the number of known crashes of a suspect, and delays its next start
+// until the store holds that number.
 func (c *Core) setCrashes(t *task, n int) {
 	c.setSuspicion(t, n, t.unsettled)
 	t.crashVersion = t.step.job.version
 }
 
-// suspectNamed returns the suspect of a task by the task's name, nil if it has ended
-// or is not known.
+// suspectByName returns the suspect of the task with this name, nil if it has ended
+// or is unknown.
 func (c *Core) suspectNamed(name string) *task {
 	id, err := job.ParseTaskID(name)
 	if err != nil {
-		return nil // by another writer; the others of the roster count
+		return nil // written by something else; the roster's other entries stay valid
 	}
 	t := c.findTask(id)
 	if t == nil || t.step.job.progress.State.Final() || t.suspect().phase == phaseDone {
@@ -74,8 +74,8 @@
 	return t.suspect()
 }
 
-// countCrashes counts a worker's crash for the tasks that may have caused it. With
-// one of them on trial, that are those on trial alone.
+// countCrashes counts a worker's crash for the tasks that may have caused it. If some of
+// them are on trial, it counts for these only.
 func (c *Core) countCrashes(vm string, l lostLife, now Instant) {
 	trial := slices.ContainsFunc(l.runs, func(r LostRun) bool { return r.Trial })
 	if vm != "" && l.busy {
@@ -89,8 +89,8 @@
 	c.compareCrashes(now)
 }
 
-// countCrash counts a crash for one task, and gives the task up if it was fed as many
-// workers as it may be.
+// countCrash counts a crash for one task, and gives the task up if it has reached its
+// limit of crashes.
 func (c *Core) countCrash(vm string, l lostLife, r LostRun, now Instant) {
 	t := c.suspectNamed(r.Task)
 	if t != nil && l.inherited {
@@ -118,9 +118,9 @@
 	c.giveUpIfCrasher(t, false, now)
 }
 
-// giveUpIfCrasher ends the job of a task that crashes its workers for certain, or that
-// was fed as many as it may be. Proof is set if the newest crash was that of a worker
-// that crashed alone, with the task on trial.
+// giveUpIfCrasher fails the job of a task that is proven to crash its workers, or that has
+// reached maxCrashes. Proof is set if the newest crash was isolated, the crash rate low and
+// the task on trial.
 func (c *Core) giveUpIfCrasher(t *task, proof bool, now Instant) {
 	j := t.step.job
 	n := j.progress.CrashCount(t.id())
@@ -132,7 +132,7 @@
 	c.setFinal(j, job.Failed, fmt.Sprintf("task %s: %d workers in a row crashed when it was started", t.id(), n.Sure), now)
 }
 
-// countUnsure counts a start of a suspect under which a worker may have crashed.
+// countInconclusive counts a start of a suspect that may have crashed its worker.
 func (c *Core) countUnsure(t *task, run uint64, reason string) {
 	j := t.step.job
 	if !j.progress.CountCrash(t.id(), job.Crash{Run: run, Unsure: true}) {
@@ -143,8 +143,9 @@
 	c.tellTask("task_suspected", t, nil, 0, reason)
 }
 
-// cleared ends the suspicion of a task: a run has outlived its start, or told its end.
-// An end that is told late may be of a run before the crashes, and says nothing of them.
+// clearSuspicion ends the suspicion of a task: a run has outlived its start, or reported its
+// end. An end that is reported late may be that of a run before the crashes, and proves
+// nothing about them.
 func (c *Core) cleared(t *task, run uint64, reason string) {
 	t = t.suspect()
 	progress := &t.step.job.progress
@@ -160,7 +161,7 @@
 	c.tellTask("task_cleared", t, nil, run, reason)
 }
 
-// noteOutlived clears a suspect whose run still works youngAtCrash after its start.
+// clearIfOutlived clears a suspect whose run still works startCrashWindow after its start.
 func (c *Core) noteOutlived(a *attempt, now Instant) {
 	if now.Steady-a.started < youngAtCrash {
 		return
@@ -172,15 +173,15 @@
 	}
 }
 
-// lastStart reports whether one more crash ends a suspect's job, whatever else crashes.
+// isLastStart reports whether one more crash ends a suspect's job, whatever else crashes.
 func (c *Core) lastStart(t *task) bool {
 	n := t.step.job.progress.CrashCount(t.id())
 	return n.All+1 >= mostCrashes && n.Sure+1 >= crashLimit
 }
 
-// suspectWaits returns why a suspect is not started yet, or nothing. The store must
-// know of its crashes, so that the next owner does, and too many unsettled runs may
-// have been crashes all.
+// suspectWaitReason returns why a suspect is not started yet, or nothing. The store must
+// hold its crashes, so that the next owner has them, and while too many runs are unsettled
+// these may all have been crashes.
 func (c *Core) suspectWaits(t *task, now Instant) string {
 	readySince := t.readySince
 	t = t.suspect()
--- a/dispatch/trial.go
+++ b/dispatch/trial.go
@@ -6,33 +6,34 @@
 	"time"
 )
 
-// Figures of trials.
+// Limits of trials. A suspect with trialCrashes or more is on trial: it is started at a worker
+// where no other run starts for a while, so that a crash there can be attributed to it.
 const (
-	// trialTime is how long a suspect is the newest run of its worker: no other
-	// suspect starts there, and nothing else beside one on trial.
+	// trialTime is how long no other suspect starts at a worker where one was started, and
+	// nothing else if that one is on trial.
 	trialTime = 2 * time.Second
-	// betweenTrials is the pause between starts of tasks on trial, so that each crash
-	// is told apart from the others.
+	// trialInterval is the time between starts of tasks on trial, so that their crashes
+	// don't appear simultaneous.
 	betweenTrials = 2 * sameMoment
-	// justStarted tells runs apart by their starts. A run that began so much earlier
+	// recentStartWindow separates runs by their starts. A run started this much earlier
 	// than another one on its worker is less likely to have crashed it, and a task on
-	// trial beside a younger run proves nothing.
+	// trial beside a more recent run proves nothing.
 	justStarted = 500 * time.Millisecond
-	// apartRetry is the pause before a step whose suspects no worker takes is tried again.
+	// suspectRetryInterval is the time before a step is tried again whose suspect no worker takes.
 	apartRetry = 100 * time.Millisecond
 	// trialCrashes is the number of crashes from which a suspect is on trial.
 	trialCrashes = crashLimit - 1
 )
 
-// apartPool holds the workers of a pool where no suspect was just started, and the racks
-// where one was. A pass computes it once: with 600 suspects at 490 workers, as after a
-// wave of crashes, that is what their placement costs beside the choice itself.
+// suspectFreePool holds the workers of a pool where no suspect was recently started, and the
+// racks where one was. A scheduling pass computes it once: with 600 suspects at 490 workers,
+// as after a wave of crashes, it is the main cost of their placement besides the choice itself.
 type apartPool struct {
 	workers []*worker
 	racks   map[string]bool
 }
 
-// apart returns the pool's part without suspects that were just started.
+// suspectFree returns the part of the pool without recently started suspects.
 func (p *pool) apart(now Instant) *apartPool {
 	if p.withoutSuspects != nil {
 		return p.withoutSuspects
@@ -49,14 +50,14 @@
 	return a
 }
 
-// take takes out a worker where a suspect is started now.
+// exclude removes a worker where a suspect is started now.
 func (a *apartPool) take(w *worker) {
 	a.workers = slices.DeleteFunc(a.workers, func(o *worker) bool { return o == w })
 	a.racks[w.info.Rack] = true
 }
 
-// placeSuspects starts the suspects of a step, each at a worker without another one
-// that was just started, so that the next crash tells them apart.
+// placeSuspects starts the suspects of a step, each at a worker without another recently
+// started one, so that the next crash can be attributed to one of them.
 func (c *Core) placeSuspects(s *stepRun, p *pool, now Instant) {
 	if now.Steady < s.apartRetry {
 		return
@@ -78,9 +79,9 @@
 	}
 }
 
-// placeApart returns a worker for a suspect, and whether no other suspect was just
-// started there. After starvedAfter it takes what there is: a task that only was
-// beside another's crash must not wait for long.
+// workerForSuspect returns a worker for a suspect, and whether no other suspect was recently
+// started there. After starvedAfter it accepts any worker: a task that only was beside one
+// that crashed its worker must not wait for long.
 func (c *Core) placeApart(t *task, p *pool, now Instant) (w *worker, apart bool) {
 	free := p.apart(now)
 	v := c.viewOf(t.step, p, now)
@@ -93,23 +94,23 @@
 	return c.chooseFor(t, p.workers, free.racks, v, now), false
 }
 
-// startedLately reports whether a run was just started at the worker.
+// startedRecently reports whether a run was recently started at the worker.
 func (w *worker) startedLately(now Instant) bool {
 	return w.placedAt > 0 && now.Steady-w.placedAt < justStarted
 }
 
-// trialRank orders workers for a suspect, the least first.
+// suspectRank orders workers for a suspect, the least first.
 type trialRank struct {
-	// sameRack: another suspect was just started in its rack. Several that crash in one
-	// rack look like its loss.
+	// sameRack: another suspect was recently started in its rack. Several crashes in one
+	// rack look like the loss of the rack.
 	sameRack bool
-	// crashed: its VM has crashed of late, and may do so by itself.
+	// crashed: its VM has recently crashed, and may do so without the suspect.
 	crashed bool
-	// late and runs count on trial: whether a run was just started there, and how many
-	// there are to lose.
+	// recentStart and runs are set for a task on trial only: whether a run was recently
+	// started there, and how many runs a crash would lose.
 	late bool
 	runs int
-	// score is that of the usual choice, more is better.
+	// score is that of the general choice of workers, higher is better.
 	score float64
 }
 
@@ -120,7 +121,7 @@
 	)
 }
 
-// chooseFor returns the best worker for a suspect, or nil.
+// bestForSuspect returns the best of the workers for a suspect, or nil.
 func (c *Core) chooseFor(t *task, workers []*worker, racks map[string]bool, v view, now Instant) *worker {
 	trial := t.suspicion() >= trialCrashes
 	var best *worker
@@ -142,8 +143,8 @@
 	return best
 }
 
-// tryApart notes that a suspect was just started, and keeps its worker for it while
-// it is on trial.
+// recordSuspectStart records that a suspect was just started. If it is on trial, its worker
+// takes no other tasks for trialTime.
 func (c *Core) tryApart(t *task, apart bool, now Instant) {
 	w := t.attempt.worker
 	w.suspectUntil = now.Steady + trialTime
--- a/dispatch/unheard.go
+++ b/dispatch/unheard.go
@@ -7,14 +7,14 @@
 	"slices"
 )
 
-// unheardTasks are those that may have run at workers of the previous owner which were
-// lost before this one heard of them.
+// unreadTasks are the tasks that may have run at workers of the previous owner that were
+// lost before this owner read their lists.
 type unheardTasks struct {
-	any   bool // at one of these, any task
+	any   bool // any task may have run at one of these workers
 	tasks map[string]bool
 }
 
-// unheardRecord is unheardTasks as stored.
+// unreadRecord is unreadTasks as stored.
 type unheardRecord struct {
 	Any   bool     `json:"any,omitempty"`
 	Tasks []string `json:"tasks,omitempty"`
@@ -30,7 +30,7 @@
 
 func (l *unheardTasks) none() bool { return !l.any && len(l.tasks) == 0 }
 
-// has reports whether a task of the step that a suspect stands for may have run there.
+// has reports whether a suspect, or any task of the gang that it represents, may have run there.
 func (l *unheardTasks) has(t *task) bool {
 	if l.any || !t.step.spec.Gang {
 		return l.any || l.tasks[t.id().String()]
@@ -38,16 +38,16 @@
 	return slices.ContainsFunc(t.step.tasks, func(t *task) bool { return l.tasks[t.id().String()] })
 }
 
-// noteUnheard takes in what may have run at a worker that was lost unheard.
+// recordUnreadLoss records what may have run at a worker that was lost before its lists were read.
 func (c *Core) noteUnheard(u unresolvedWorker) {
 	c.lostInTerm.add(u)
 	c.lostUnheard.add(u)
 	c.unheardStale = true
 }
 
-// forgetUnheard forgets the tasks that may have run at lost workers, once nothing waits
-// for a worker of the previous owner and each of them has outlived a start since: owners
-// may end before it is started again.
+// forgetUnread forgets the tasks that may have run at lost workers, once no worker of the
+// previous owner is awaited and no possible crash is left: owners may end before such a
+// task is started again.
 func (c *Core) forgetUnheard() {
 	if len(c.unresolved) == 0 && !c.unknown && c.doubtful == 0 && !c.lostUnheard.none() {
 		c.lostUnheard, c.lostInTerm = unheardTasks{}, unheardTasks{}
@@ -55,8 +55,8 @@
 	}
 }
 
-// Unheard returns the record of tasks that may have run at lost workers, for an owner that
-// takes over before they were released; nil if the store has it.
+// Unread returns the record of the tasks that may have run at lost workers, for an owner that
+// takes over before they are forgotten; nil if the store has it.
 func (c *Core) Unheard() ([]byte, error) {
 	if !c.unheardStale {
 		return nil, nil
@@ -64,7 +64,7 @@
 	return json.Marshal(unheardRecord{c.lostUnheard.any, slices.Sorted(maps.Keys(c.lostUnheard.tasks))})
 }
 
-// UnheardStored tells that the store holds what Unheard returned.
+// UnreadStored records that the store holds what Unread returned.
 func (c *Core) UnheardStored(value []byte) {
 	if value == nil {
 		return
@@ -73,8 +73,8 @@
 	c.unheardStale = err != nil || !bytes.Equal(value, newest)
 }
 
-// TakeUnheard takes in the previous owner's record. One that can't be read is taken to
-// name all tasks.
+// RecoverUnread applies the previous owner's record. One that can't be decoded stands for
+// all tasks.
 func (c *Core) TakeUnheard(value []byte) error {
 	var r unheardRecord
 	if err := json.Unmarshal(value, &r); err != nil {
