--- a/dispatch/crash_test.go
+++ b/dispatch/crash_test.go
@@ -10,28 +10,28 @@
 	"leverstile.dev/job"
 )
 
-// crashFleet is a fleet of workers in racks of four, before a core: calls are answered at
-// once, and workers crash or fall silent as the test says.
+// crashFleet simulates a fleet of workers in racks of four under one core: calls are answered
+// at once, and workers crash or fall silent as the test directs.
 type crashFleet struct {
 	t    *testing.T
 	core *Core
 	now  Instant
-	// life is the present life of each VM, down until when none answers there.
+	// incarnation is the present one of each VM; down is until when none answers there.
 	life map[string]WorkerID
 	down map[string]time.Duration
-	// cut VMs run on and are silent; draining ones say so.
+	// cut VMs run on without answering; draining ones report that they drain.
 	cut, draining map[string]bool
 	lives         int
-	// starts holds the runs of each task that a worker has begun, running those
-	// that are at work, by life.
+	// starts holds the runs of each task that a worker has started, running those
+	// that are running, by incarnation.
 	starts  map[job.TaskID][]uint64
 	running map[WorkerID]map[job.TaskID]uint64
-	// crashes are the workers that ended under a task of crasher.
+	// crashes counts the workers that crashed under each task of crasher.
 	crashes map[job.TaskID]int
-	// crasher tells which tasks crash the worker that starts them.
+	// crasher reports which tasks crash the worker that starts them.
 	crasher   func(job.TaskID) bool
 	decisions []Decision
-	// stored is the store's copy of progress; while storeDown it takes nothing.
+	// stored is the store's copy of progress; while storeDown it accepts no writes.
 	stored    map[string][]byte
 	storeDown bool
 	roster    rosterStore
@@ -40,19 +40,19 @@
 	ended     map[WorkerID][]EndedTask
 	// crashDown is how long a VM has no worker after a crash.
 	crashDown time.Duration
-	// sameID: all lives of a VM have one id, and tell when they were born.
+	// sameID: all incarnations on a VM share one id, and report when they started.
 	sameID bool
 	// rackSize is how many VMs share a rack.
 	rackSize int
-	// startFault plays a fault of the call of a start, if set: whether the worker begins the
-	// run, and how the call ends.
+	// startFault injects a fault into the call of a start, if set: it returns whether the worker
+	// starts the run, and how the call ends.
 	startFault func(o Order) (begun bool, outcome Outcome)
 }
 
 const (
-	// crashRack is how many VMs mostly share a rack.
+	// crashRack is the default number of VMs that share a rack.
 	crashRack = 4
-	// crashDown is how long a VM mostly has no worker after a crash.
+	// crashDown is the default time for which a VM has no worker after a crash.
 	crashDown = 3 * time.Second
 )
 
@@ -87,8 +87,8 @@
 	return core
 }
 
-// takeOver has the next owner take over with what the store holds. Jobs are known by
-// their specs.
+// takeOver replaces the owner by the next one, which starts from the store's content and
+// the jobs' specs.
 func (f *crashFleet) takeOver(specs ...*job.Spec) {
 	f.t.Helper()
 	list, err := f.roster.read()
@@ -147,13 +147,13 @@
 	f.core.SetWorkers(list, f.now)
 }
 
-// end ends a VM's life; the next one comes after a time.
+// end ends the incarnation on a VM; the next one starts after the down time.
 func (f *crashFleet) end(vm string, down time.Duration) {
 	f.running[f.life[vm]] = map[job.TaskID]uint64{}
 	f.down[vm] = f.now.Steady + down
 }
 
-// reach returns what a call to a VM's life meets first.
+// reach returns the outcome of a call to an incarnation as far as its VM's state decides it.
 func (f *crashFleet) reach(vm string, id WorkerID) Outcome {
 	switch {
 	case f.cut[vm]:
@@ -167,7 +167,7 @@
 	}
 }
 
-// pass lets time pass: polls are answered each 100 ms, orders at once.
+// pass advances the time: polls are answered every 100 ms, orders at once.
 func (f *crashFleet) pass(d time.Duration) {
 	for end := f.now.Steady + d; f.now.Steady < end; {
 		f.now.Steady += 20 * time.Millisecond
@@ -215,7 +215,7 @@
 	}
 }
 
-// finish ends a run where it works.
+// finish ends a task's run at the worker that has it.
 func (f *crashFleet) finish(task job.TaskID, kind EndKind) {
 	for id, runs := range f.running {
 		if run, ok := runs[task]; ok {
@@ -257,7 +257,7 @@
 	}
 }
 
-// write has the store take the progress of jobs and the roster.
+// write writes the progress of jobs, the roster and the unread record to the store.
 func (f *crashFleet) write() {
 	if f.storeDown {
 		return
@@ -288,7 +288,7 @@
 	return state
 }
 
-// told returns the decisions with an event.
+// decisionsOf returns the decisions with an event.
 func (f *crashFleet) told(event string) []Decision {
 	var list []Decision
 	for _, d := range f.decisions {
@@ -299,19 +299,14 @@
 	return list
 }
 
-// mostStartsOfACrasher is what the users allow: after three workers have crashed under a
-// task, it is started twice more at the most.
+// mostStartsOfACrasher is the number of starts that users allow: three that crash their
+// workers, and two more.
 const mostStartsOfACrasher = 5
 
-// TestTaskThatCrashesWorkersIsGivenUp.
-//
-// Users saw workers restart one after the other, with all that ran there: a task was handed
-// in that crashes each worker that starts it. Each time the worker's next life answered, 3 s
-// later, the owner took the run for lost and started the task at the next worker, six times
-// in 18 s and on for as long as the job was wanted. In the owner's log all starts are of one
-// term, each right after "run_lost, another life answers" of the one before; nothing counted
-// them, since a crashed worker lists no failure. Beside it nine others a crash were lost:
-// 1,935 runs of 11,522 in 90 s.
+// TestTaskThatCrashesWorkersIsGivenUp guards against a task that crashes each worker that starts
+// it being restarted forever. A crashed worker lists no failure, so that the task's limit of
+// attempts never applied: each time the next incarnation answered, 3 s later, the run counted as
+// lost and the task was started at the next worker. Each crash also lost about nine other runs.
 func TestTaskThatCrashesWorkersIsGivenUp(t *testing.T) {
 	f := newCrashFleet(t, 12)
 	bad, good := simpleJob(1, 1), simpleJob(2, 24)
@@ -322,35 +317,35 @@
 	f.core.AddJob(bad, nil, false, f.now)
 	f.pass(90 * time.Second)
 	if n := len(f.starts[crasher]); n > mostStartsOfACrasher {
-		t.Errorf("started %d times, want %d at the most", n, mostStartsOfACrasher)
+		t.Errorf("started %d times, want at most %d", n, mostStartsOfACrasher)
 	}
 	if s := f.state(bad); s != job.Failed {
-		t.Errorf("the job is %s, want failed: it can't be done", s)
+		t.Errorf("the job is %s, want failed", s)
 	}
 	if s := f.state(good); s != job.Running {
-		t.Errorf("the job beside it is %s, want running", s)
+		t.Errorf("the other job is %s, want running", s)
 	}
 }
 
-// TestEndsOfLivesAreTold: the log tells a crash from other ends of a worker's life, and which
-// runs had just begun there.
+// TestIncarnationEndsAreLogged: the log distinguishes a crash from other ends of an incarnation,
+// and names the runs that had recently started there.
 func TestEndsOfLivesAreTold(t *testing.T) {
-	const away = 2 * time.Second
+	const downFor = 2 * time.Second
 	for name, x := range map[string]struct {
 		end  func(f *crashFleet)
 		want lifeEnd
 	}{
-		"crashed":         {func(f *crashFleet) { f.end("m00", away) }, endCrashed},
+		"crashed":         {func(f *crashFleet) { f.end("m00", downFor) }, endCrashed},
 		"restarted quick": {func(f *crashFleet) { f.end("m00", time.Millisecond) }, endCrashed},
-		"drained":         {func(f *crashFleet) { f.draining["m00"] = true; f.pass(time.Second); f.end("m00", away) }, endDrained},
+		"drained":         {func(f *crashFleet) { f.draining["m00"] = true; f.pass(time.Second); f.end("m00", downFor) }, endDrained},
 		"cut off": {func(f *crashFleet) {
 			f.cut["m00"] = true
 			f.pass(2 * time.Second)
-			f.end("m00", away)
+			f.end("m00", downFor)
 			f.cut["m00"] = false
 		}, endSilent},
-		"rack lost": {func(f *crashFleet) { f.end("m00", away); f.end("m01", away); f.end("m02", away) }, endRackLost},
-		"evacuated": {func(f *crashFleet) { f.core.SetEvacuated([]string{""}); f.end("m00", away) }, endCrashed},
+		"rack lost": {func(f *crashFleet) { f.end("m00", downFor); f.end("m01", downFor); f.end("m02", downFor) }, endRackLost},
+		"evacuated": {func(f *crashFleet) { f.core.SetEvacuated([]string{""}); f.end("m00", downFor) }, endCrashed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newCrashFleet(t, 8)
@@ -358,21 +353,21 @@
 			old.Steps[0].MaxPerWorker = 1
 			f.core.AddJob(old, nil, false, f.now)
 			f.pass(8 * time.Second)
-			young := simpleJob(2, 8)
-			young.Steps[0].MaxPerWorker = 1
-			f.core.AddJob(young, nil, false, f.now)
+			recent := simpleJob(2, 8)
+			recent.Steps[0].MaxPerWorker = 1
+			f.core.AddJob(recent, nil, false, f.now)
 			f.pass(time.Second)
 			id := f.life["m00"]
 			x.end(f)
 			f.pass(4 * time.Second)
-			var told *Decision
+			var logged *Decision
 			for _, d := range f.told("worker_ended") {
 				if d.Worker == id {
-					told = &d
+					logged = &d
 				}
 			}
-			if told == nil || told.Reason != x.want.String() {
-				t.Fatalf("told: %v, want %v", told, x.want)
+			if logged == nil || logged.Reason != x.want.String() {
+				t.Fatalf("logged: %v, want %v", logged, x.want)
 			}
 			var runs []string
 			for _, d := range f.told("run_in_crash") {
@@ -380,8 +375,8 @@
 					runs = append(runs, d.Job)
 				}
 			}
-			if x.want == endCrashed && (len(runs) != 1 || runs[0] != young.ID) {
-				t.Errorf("runs that may have crashed it: %v, want the one of %s", runs, young.ID)
+			if x.want == endCrashed && (len(runs) != 1 || runs[0] != recent.ID) {
+				t.Errorf("runs that may have crashed it: %v, want the one of %s", runs, recent.ID)
 			}
 			if x.want != endCrashed && len(runs) > 0 {
 				t.Errorf("runs that may have crashed it: %v, want none", runs)
@@ -390,8 +385,8 @@
 	}
 }
 
-// TestBrokenConnectionProvesNothing: a connection that is refused or broken off leaves the
-// worker's life and its runs as they are; only a lease that is over or another life ends them.
+// TestBrokenConnectionProvesNothing: a refused or broken connection changes nothing about the
+// worker's incarnation and its runs; only an expired lease or another incarnation ends them.
 func TestBrokenConnectionProvesNothing(t *testing.T) {
 	f := newCrashFleet(t, 8)
 	spec := simpleJob(1, 8)
--- a/dispatch/densewaves_test.go
+++ b/dispatch/densewaves_test.go
@@ -10,14 +10,14 @@
 	"leverstile.dev/job"
 )
 
-// denseWaves plays waves of crashes: of eight workers one to four crash about together, eight
-// times within some 12 s, and restart soon.
+// denseWaves simulates waves of crashes: one to four of eight workers crash at about the same
+// time, eight times within some 12 s, and restart soon.
 type denseWaves struct {
 	f        *crashFleet
 	rng      *rand.Rand
 	bad      *job.Spec // nil without a task that crashes its workers
 	harmless []*job.Spec
-	// ownersLost: some waves end the owner too, and what it wrote last is lost.
+	// ownersLost: some waves end the owner too, and its last writes are lost.
 	ownersLost bool
 }
 
@@ -73,20 +73,18 @@
 	return append(slices.Clone(d.harmless), d.bad)
 }
 
-// TestDenseWavesOfCrashesFailNoHarmlessJob: jobs whose tasks only were at workers that crash
-// in waves are kept, and a task that crashes its workers beside them is given up within the
-// starts that users allow.
-//
-// What users saw: a job of four lasting tasks, none of which crashes anything, was shown as
-// failed for good after some waves in which a third of the workers crashed about together.
+// TestDenseWavesOfCrashesFailNoHarmlessJob: long-running tasks that crash nothing must not fail
+// their jobs because they were at workers that crash in waves, when up to half of the workers crash
+// at about the same time. A task that crashes its workers beside them is given up within the starts
+// that users allow.
 func TestDenseWavesOfCrashesFailNoHarmlessJob(t *testing.T) { playDenseWaves(t, false) }
 
-// TestDenseWavesThatEndOwnersFailNoHarmlessJob: the same, while owners end in some of the waves.
+// TestDenseWavesThatEndOwnersFailNoHarmlessJob: the same, while some of the waves end the owner too.
 func TestDenseWavesThatEndOwnersFailNoHarmlessJob(t *testing.T) { playDenseWaves(t, true) }
 
 func playDenseWaves(t *testing.T, ownersLost bool) {
 	if testing.Short() {
-		t.Skip("it is played without -short")
+		t.Skip("long test, skipped with -short")
 	}
 	t.Helper()
 	kept, failed, found, starts := 0, 0, 0, map[int]int{}
@@ -111,20 +109,20 @@
 		}
 		starts[len(d.f.starts[job.TaskID{Job: d.bad.ID}])]++
 	}
-	t.Logf("%d harmless jobs kept, %d failed; %d crashing tasks found, by number of starts %v", kept, failed, found, starts)
+	t.Logf("%d harmless jobs kept, %d failed; %d crashing tasks given up, by number of starts %v", kept, failed, found, starts)
 }
 
-// TestCrashesThatAreNoticedLaterCount: a crash is no proof against a task if another worker
-// crashed at the same moment, also if that is noticed after it; nor if many others crashed
+// TestCrashesThatAreNoticedLaterCount: a crash proves nothing against a task if another worker
+// crashed at about the same time, even if that is detected later, or if many others crashed
 // shortly before.
 func TestCrashesThatAreNoticedLaterCount(t *testing.T) {
 	if testing.Short() {
-		t.Skip("it is played without -short")
+		t.Skip("long test, skipped with -short")
 	}
 	const hits = mostCrashes - 1
 	for offset := -280 * time.Millisecond; offset <= 280*time.Millisecond; offset += 40 * time.Millisecond {
-		for _, away := range []time.Duration{20 * time.Millisecond, 60 * time.Millisecond, 400 * time.Millisecond} {
-			t.Run(fmt.Sprintf("another %v after, away for %v", offset, away), func(t *testing.T) {
+		for _, downFor := range []time.Duration{20 * time.Millisecond, 60 * time.Millisecond, 400 * time.Millisecond} {
+			t.Run(fmt.Sprintf("another %v after, away for %v", offset, downFor), func(t *testing.T) {
 				f := newCrashFleet(t, 24)
 				f.rackSize = 1
 				beside, spec := simpleJob(1, 24), simpleJob(2, 1)
@@ -150,9 +148,9 @@
 					if offset < 0 {
 						first, second = other, vm
 					}
-					f.end(first, away)
+					f.end(first, downFor)
 					f.pass(offset.Abs())
-					f.end(second, away)
+					f.end(second, downFor)
 				}
 				f.pass(30 * time.Second)
 				if s := f.state(spec); s != job.Running {
--- a/dispatch/lives_test.go
+++ b/dispatch/lives_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// livesCore returns a core that took over with a roster of these workers.
+// recoveredCore returns a core that has taken over with a roster of these workers.
 func livesCore(now Instant, roster ...RosterEntry) *Core {
 	core := sureCore(Params{RecoveryWait: 10 * time.Second}, 2, now)
 	core.Recover(roster, now)
@@ -16,14 +16,15 @@
 	return WorkerInfo{ID: WorkerID(id), VM: vm, Address: id, Service: "svc", CPUMilli: 16000, MemoryMiB: 64000}
 }
 
-// poll sends a poll and has it answered later.
+// poll sends a poll and delivers its reply later.
 func poll(core *Core, id WorkerID, sent, answered time.Duration) {
 	order := core.PlanHold(id, Instant{Steady: sent}).Order
 	core.HoldDone(order, HoldReply{ClockMS: answered.Milliseconds()}, OutcomeOK, Instant{Steady: answered})
 }
 
-// After upkeep or a crash the roster names a life that never answers; tasks that may have
-// run there waited for ten seconds at each takeover.
+// TestNextIncarnationOnAVMEndsThePreviousOne: after maintenance or a crash the roster names an
+// incarnation that never answers. Tasks that may have run there must not wait for RecoveryWait at
+// each takeover once the next incarnation on the VM answers.
 func TestNextLifeOfAVMEndsTheOneBefore(t *testing.T) {
 	now := Instant{Steady: time.Second}
 	core := livesCore(now, RosterEntry{ID: "old", Address: "old", VM: "m1"}, RosterEntry{ID: "other", Address: "other", VM: "m2"})
@@ -31,16 +32,16 @@
 	core.AddJob(simpleJob(1, 1), nil, true, now)
 	poll(core, "other", 1100*time.Millisecond, 1110*time.Millisecond)
 	if n := core.Recovering(); n != 1 {
-		t.Fatalf("waits for %d workers, want the old life", n)
+		t.Fatalf("waits for %d workers, want the old incarnation", n)
 	}
 	poll(core, "new", 1100*time.Millisecond, 1110*time.Millisecond)
 	if n := core.Recovering(); n != 0 {
-		t.Fatalf("waits for %d workers after the new life has answered", n)
+		t.Fatalf("waits for %d workers after the new incarnation has answered", n)
 	}
 }
 
-// An answer that was on its way for long proves nothing of a life that was heard
-// of meanwhile.
+// TestLateAnswerDoesNotEndALaterIncarnation: an answer that was delayed for long proves nothing
+// about an incarnation that became known meanwhile.
 func TestLateAnswerDoesNotEndALaterLife(t *testing.T) {
 	now := Instant{Steady: time.Second}
 	core := livesCore(now)
@@ -50,11 +51,12 @@
 	poll(core, "second", 3100*time.Millisecond, 3110*time.Millisecond)
 	core.HoldDone(order, HoldReply{ClockMS: 2000}, OutcomeOK, Instant{Steady: 4 * time.Second})
 	if core.workers["second"] == nil {
-		t.Fatal("the later life was given up")
+		t.Fatal("the later incarnation was given up")
 	}
 }
 
-// A worker without tasks that is no longer listed stayed in the roster.
+// TestUnlistedIdleWorkerLeavesTheRoster: a worker without tasks that is no longer listed must be
+// removed from the roster, even if a write that names it was in progress.
 func TestUnlistedIdleWorkerLeavesTheRoster(t *testing.T) {
 	now := Instant{Steady: time.Second}
 	core := livesCore(now)
@@ -65,7 +67,7 @@
 	}
 	poll(core, "w1", now.Steady, now.Steady+time.Millisecond)
 	core.SetWorkers([]WorkerInfo{lifeInfo("w2", "m2")}, now)
-	core.RosterStored(parts) // the write that was under way still names it
+	core.RosterStored(parts) // the write that was in progress still names it
 	if !core.RosterStale() {
 		t.Error("the roster is not written again")
 	}
@@ -73,6 +75,6 @@
 		t.Errorf("the roster holds %v", list)
 	}
 	if core.RosterStale() {
-		t.Error("the roster is written for ever")
+		t.Error("the roster is written forever")
 	}
 }
--- a/dispatch/lostowner_test.go
+++ b/dispatch/lostowner_test.go
@@ -8,12 +8,10 @@
 	"leverstile.dev/job"
 )
 
-// TestOneOwnerLostCostsNoStartTooMany: whichever of a task's crashes an owner's end follows,
-// and however soon, also if the store took nothing since the crash, the task is started as
-// often as users allow. Others crash at each of its crashes, so that none is a proof.
-//
-// Users would see two runs too many of a task that crashes its workers, and ten tasks beside
-// it lost each time, if an owner's end made the next one forget what was not written yet.
+// TestOneOwnerLostCostsNoStartTooMany: whichever crash of a task the end of an owner follows, and
+// however soon, even if the store accepted nothing since the crash, the task is started at most as
+// often as users allow. A next owner that lacks what was not written yet would start it again too
+// often. Another worker crashes at each of its crashes, so that none is isolated.
 func TestOneOwnerLostCostsNoStartTooMany(t *testing.T) {
 	for crash := 1; crash < mostStartsOfACrasher; crash++ {
 		for _, after := range []time.Duration{0, 40, 100, 200, 400, 1000, 2000, 2900, 3000, 3100, 3300, 4000} {
@@ -27,9 +25,9 @@
 	}
 }
 
-// TestLostOwnerAndWorkersUnderTheSameID: the same, where workers restart under their ids. What
-// the previous owner may have ordered of a life is waited for at the next one; that the life
-// before was lost unheard was forgotten with it, and a task was started six times.
+// TestLostOwnerAndWorkersUnderTheSameID: the same, where workers restart under their ids. A task was
+// started once too often because the transfer of unresolved tasks to the next incarnation dropped
+// that the previous one was lost before its lists were read.
 func TestLostOwnerAndWorkersUnderTheSameID(t *testing.T) {
 	for crash := 1; crash < mostStartsOfACrasher; crash++ {
 		for _, after := range []time.Duration{0, 100, 1000, 3100} {
@@ -43,7 +41,7 @@
 	}
 }
 
-// lostOwnerRun plays an owner that is lost some time after one of a task's crashes.
+// lostOwnerRun simulates an owner that is lost some time after one of a task's crashes.
 func lostOwnerRun(t *testing.T, f *crashFleet, crash int, after time.Duration, storeDown bool) {
 	t.Helper()
 	bad, good := simpleJob(1, 1), simpleJob(2, 24)
@@ -79,14 +77,10 @@
 	}
 }
 
-// TestOwnersLostInARowCostNoStartTooMany: as with one owner that is lost, however many are lost
-// one after the other.
-//
-// What callers saw: a task that crashes its workers was started three times after the third
-// crash, two are allowed. Its first crash came 0.1 s before its owner was killed. The next owner
-// saw that the worker's life was over, while it still waited for another worker with all tasks;
-// it was killed then, and the one after it counted from nothing: what an owner knows of workers
-// that were lost unheard is not handed on.
+// TestOwnersLostInARowCostNoStartTooMany: the same for several owners that are lost one after
+// another. It guards against an owner that does not hand on which workers were lost before it read
+// their lists: the task crashes first 0.1 s before its owner ends; the next owner ends while it
+// still waits for another worker, and the third one would count the crashes from zero.
 func TestOwnersLostInARowCostNoStartTooMany(t *testing.T) {
 	for _, between := range []time.Duration{1700 * time.Millisecond, 3 * time.Second} {
 		f := newCrashFleet(t, 24)
@@ -109,13 +103,13 @@
 		f.cut[silent] = false
 		f.takeOver(bad, good)
 		f.crashDown = crashDown
-		other := len(f.vms) // in racks where the task does not start
+		other := len(f.vms) // counts down through racks where the task does not start
 		for seen := f.crashed(); f.now.Steady < 120*time.Second && f.state(bad) != job.Failed; {
 			f.pass(20 * time.Millisecond)
 			if n := f.crashed(); n != seen {
 				seen = n
 				other -= crashRack
-				f.end(f.vms[other], crashDown) // so that no crash is a proof
+				f.end(f.vms[other], crashDown) // so that no crash is isolated
 			}
 		}
 		f.checkGivenUp(bad, good)
--- a/dispatch/ownerslost_test.go
+++ b/dispatch/ownerslost_test.go
@@ -9,12 +9,12 @@
 	"leverstile.dev/job"
 )
 
-// ownersLost is a case of owners that are lost at some of a task's crashes.
+// ownersLost is a case of owners that are lost at some crashes of a task.
 type ownersLost struct {
 	crashes []int
 	after   time.Duration
-	// down: the store takes nothing from the crash on. sameID: workers restart under their
-	// ids. others: another worker crashes at each of the task's crashes.
+	// down: the store accepts nothing from the crash on. sameID: workers restart under their
+	// ids. others: another worker crashes at each crash of the task.
 	down, sameID, others bool
 }
 
@@ -22,7 +22,7 @@
 	return fmt.Sprintf("crashes %v, %v later, store down %v, same ids %v, others crash %v", x.crashes, x.after, x.down, x.sameID, x.others)
 }
 
-// severalOwnersLost returns all choices of two to four of a task's crashes, at moments after them.
+// severalOwnersLost returns all choices of two to four of a task's crashes, with several delays.
 func severalOwnersLost() []ownersLost {
 	var list []ownersLost
 	for set := range 1 << (mostStartsOfACrasher - 1) {
@@ -44,14 +44,13 @@
 	return list
 }
 
-// TestSeveralOwnersLostCostNoStartTooMany: at whichever of a task's crashes owners are lost, and
-// however soon after them, the task is started as often as users allow and its job fails.
-//
-// What users saw: a task that crashes its workers was started six or seven times, five are
-// allowed, since crashes that nobody had told of were counted once for all owners.
+// TestSeveralOwnersLostCostNoStartTooMany: at whichever crashes of a task owners are lost, and
+// however soon after them, the task is started at most as often as users allow and its job fails.
+// Crashes without any record were once counted as one for all lost owners together, which allowed
+// up to two starts too many.
 func TestSeveralOwnersLostCostNoStartTooMany(t *testing.T) {
 	if testing.Short() {
-		t.Skip("it is played without -short")
+		t.Skip("long test, skipped with -short")
 	}
 	for _, x := range severalOwnersLost() {
 		t.Run(x.String(), func(t *testing.T) { x.play(t, newCrashFleetOf(t, 24, x.sameID)) })
@@ -73,8 +72,8 @@
 	})
 }
 
-// playCrasher plays a task that crashes its workers beside a job of so many tasks, with what
-// else happens at each crash, until its job is given up.
+// playCrasher runs a task that crashes its workers together with a job of the given number of
+// tasks, calls atCrash at each crash, and checks that its job is given up.
 func (f *crashFleet) playCrasher(beside int, atCrash func(crash int, jobs ...*job.Spec)) {
 	f.t.Helper()
 	bad, good := simpleJob(1, 1), simpleJob(2, beside)
--- a/dispatch/rackcrash_test.go
+++ b/dispatch/rackcrash_test.go
@@ -9,15 +9,12 @@
 	"leverstile.dev/job"
 )
 
-// TestCrashesThatLookLikeALostRackCostNoStartTooMany: at one or two of a task's crashes most of
-// the rack crashes too, so that the worker looks lost with it. The task is started as often as
-// users allow, and no job beside it fails.
-//
-// What users saw: a start too many of a task that crashes its workers, under one owner: one of
-// its crashes was taken for the loss of a rack, and counted for nothing.
+// TestCrashesThatLookLikeALostRackCostNoStartTooMany: at one or two crashes of a task the rest of
+// the rack crashes too, so that the worker seems lost with its rack. Such a crash must still count
+// towards the limit: the task is started at most as often as users allow, and no other job fails.
 func TestCrashesThatLookLikeALostRackCostNoStartTooMany(t *testing.T) {
 	if testing.Short() {
-		t.Skip("it is played without -short")
+		t.Skip("long test, skipped with -short")
 	}
 	for set := 1; set < 1<<(mostStartsOfACrasher-1); set++ {
 		var crashes []int
@@ -44,7 +41,7 @@
 	t.Helper()
 	f.playCrasher(48, func(crash int, _ ...*job.Spec) {
 		if !slices.Contains(crashes, crash) {
-			f.endAnyOther() // so that no crash is a proof
+			f.endAnyOther() // so that no crash is isolated
 			return
 		}
 		rack := f.rackThatCrashed()
@@ -57,7 +54,7 @@
 	})
 }
 
-// rackThatCrashed returns the rack of the VM whose worker crashed last.
+// rackThatCrashed returns the rack of the VM whose worker crashed most recently.
 func (f *crashFleet) rackThatCrashed() string {
 	newest := f.vms[0]
 	for _, vm := range f.vms {
--- a/dispatch/restart_test.go
+++ b/dispatch/restart_test.go
@@ -8,15 +8,15 @@
 	"leverstile.dev/job"
 )
 
-// Lives of one worker: the second one's clock is behind and it was born earlier, as when the
-// time of day jumped back.
+// Start times of two incarnations of one worker: the second one's clock is behind and its start
+// time is earlier, as after the time of day jumped back.
 const (
 	bornFirst  = 1_764_748_800_000
 	bornSecond = bornFirst - 3_600_000
 	clockFirst = 400_000
 )
 
-// restartCore is a core with a worker "w" that restarts under its id, and tells so.
+// restartCore is a core with a worker "w" that restarts under its id, and reports when it started.
 type restartCore struct {
 	t     *testing.T
 	core  *Core
@@ -34,7 +34,7 @@
 	return x
 }
 
-// listWorkers has the platform list the life that is there, and the roster written.
+// listWorkers applies a list with the present incarnation, and writes the roster.
 func (x *restartCore) listWorkers() {
 	x.t.Helper()
 	x.core.SetWorkers([]WorkerInfo{lifeInfo(string(x.life), "m")}, x.now)
@@ -42,16 +42,16 @@
 	storeRoster(x.t, x.core)
 }
 
-// restart lets the next life of the worker begin.
+// restart starts the worker's next incarnation.
 func (x *restartCore) restart() { x.life, x.clock = LifeID("w", bornSecond), 3 }
 
-// pass lets time pass.
+// pass advances the time.
 func (x *restartCore) pass(d time.Duration) {
 	x.now.Steady += d
 	x.clock += d.Milliseconds()
 }
 
-// pollAll has each known life polled, and answered with these lists by the one that is there.
+// pollAll polls each known incarnation; the present one answers with these lists.
 func (x *restartCore) pollAll(running []RunningTask, ended ...EndedTask) (orders []HoldOrder) {
 	x.t.Helper()
 	for _, id := range x.core.Workers() {
@@ -67,10 +67,10 @@
 	return orders
 }
 
-// submit takes in a job of n tasks, and returns the starts that follow.
-func (x *restartCore) submit(id, n int, lasting bool) []Order {
+// submit adds a job of n tasks, and returns the starts that follow.
+func (x *restartCore) submit(id, n int, longRunning bool) []Order {
 	spec := simpleJob(id, n)
-	spec.Steps[0].Lasting = lasting
+	spec.Steps[0].Lasting = longRunning
 	x.core.AddJob(spec, nil, false, x.now)
 	return x.startsNow()
 }
@@ -86,7 +86,7 @@
 	}
 }
 
-// persist has the store take what waits.
+// persist writes pending records to the store.
 func (x *restartCore) persist() {
 	x.t.Helper()
 	records, err := x.core.Records(100)
@@ -110,7 +110,7 @@
 	return ends
 }
 
-// doneBefore has the first life end n tasks, and the owner acknowledge these ends.
+// finishTasks has the first incarnation finish n tasks, and the owner acknowledge their ends.
 func (x *restartCore) doneBefore(n int) {
 	x.t.Helper()
 	starts := x.submit(1, n, false)
@@ -124,9 +124,9 @@
 	x.pollAll(nil)
 }
 
-// TestTasksOfTheLifeBeforeStartAgain: what ran at a worker that has restarted under its id
-// is started again, whatever the clocks of its lives show. Lists of the next life were taken
-// for overtaken answers of the one before as long as its clock was behind.
+// TestTasksOfThePreviousIncarnationRestart: what ran at a worker that has restarted under its id
+// is started again, whatever the clocks of its incarnations show. While the next one's clock was
+// behind, its lists were discarded as overtaken answers of the previous one.
 func TestTasksOfTheLifeBeforeStartAgain(t *testing.T) {
 	x := newRestartCore(t)
 	starts := x.submit(1, 3, true)
@@ -143,13 +143,13 @@
 	}
 }
 
-// TestEndsOfTheNextLifeCount: a life counts its ends from 1. They were taken for ends of the
-// life before that had been taken in, and the tasks started again.
+// TestEndsOfTheNextIncarnationCount: an incarnation numbers its ends from 1. They must not be
+// mistaken for ends of the previous one that were already processed, or the tasks start again.
 func TestEndsOfTheNextLifeCount(t *testing.T) {
 	x := newRestartCore(t)
 	x.doneBefore(6)
 	x.restart()
-	starts := x.submit(2, 3, false) // ordered of the life before
+	starts := x.submit(2, 3, false) // sent to the previous incarnation
 	x.answer(starts)
 	x.pollAll(nil, endsOf(starts)...)
 	x.pollAll(nil, endsOf(starts)...)
@@ -163,11 +163,11 @@
 	}
 }
 
-// TestStartCarriedOutByTheNextLifeIsNotRepeated: a start that was ordered of the life before
-// and carried out by the next one runs there. It is neither stopped nor started elsewhere, and
-// a run that the next life does not list is started again.
+// TestStartCarriedOutByTheNextIncarnationIsNotRepeated: a start that was sent to the previous
+// incarnation and carried out by the next one runs there. It is neither stopped nor started
+// elsewhere, and a run that the next incarnation does not list is started again.
 func TestStartCarriedOutByTheNextLifeIsNotRepeated(t *testing.T) {
-	for _, listedFirst := range []bool{false, true} { // the next life: by the platform, before it answers
+	for _, listedFirst := range []bool{false, true} { // whether the platform lists the next incarnation before that answers
 		x := newRestartCore(t)
 		x.doneBefore(2)
 		starts := x.submit(2, 2, false)
@@ -180,7 +180,7 @@
 		var orders []Order
 		for range 8 {
 			x.pollAll(rowsOf(running))
-			x.persist() // the next owner is to know of the crash
+			x.persist() // the crash must be stored for the next owner
 			x.listWorkers()
 			more := x.core.TakeOrders()
 			orders = append(orders, more...)
@@ -192,8 +192,8 @@
 	}
 }
 
-// TestLateEntryOfTheLifeBefore: an entry that a life wrote before it ended may be carried out
-// after that of the next one. It ends nothing.
+// TestLateEntryOfThePreviousIncarnation: a list entry that an incarnation wrote before it ended may
+// take effect after that of the next one. It ends nothing.
 func TestLateEntryOfTheLifeBefore(t *testing.T) {
 	x := newRestartCore(t)
 	x.restart()
@@ -216,8 +216,8 @@
 	}
 }
 
-// TestNextOwnerMeetsTheNextLife: what the previous owner may have ordered of a life is read
-// from the next one, whether or not the roster or the list knows of that.
+// TestNextOwnerMeetsTheNextIncarnation: tasks that the previous owner may have sent to an
+// incarnation are read from the next one, whether or not the roster or the list names that one.
 func TestNextOwnerMeetsTheNextLife(t *testing.T) {
 	for _, inRoster := range []WorkerID{LifeID("w", bornFirst), LifeID("w", bornSecond), "w"} {
 		for _, inList := range []WorkerID{LifeID("w", bornFirst), LifeID("w", bornSecond), ""} {
@@ -249,8 +249,7 @@
 	}
 }
 
-// TestRosterTellsLives: the roster names a life by the worker's id, as one does that knows of
-// no others, and by when it was born.
+// TestRosterNamesIncarnations: the roster names an incarnation by the worker's id and its start time.
 func TestRosterTellsLives(t *testing.T) {
 	x := newRestartCore(t)
 	if list := rosterOf(t, x.core); len(list) != 1 || list[0].ID != x.life {
@@ -258,8 +257,8 @@
 	}
 }
 
-// TestCrashOfARestartedWorkerCounts: the next life under the same id proves a crash like one
-// with another id, and the same life none.
+// TestCrashOfARestartedWorkerCounts: the next incarnation under the same id proves a crash, as one
+// with another id does.
 func TestCrashOfARestartedWorkerCounts(t *testing.T) {
 	x := newRestartCore(t)
 	starts := x.submit(1, 1, false)
@@ -272,8 +271,8 @@
 	}
 }
 
-// TestWorkerThatFirstTellsWhenItWasBorn: a life that was known by its id alone, as by an entry
-// that does not tell, is the one that answers. Its runs go on and it has not crashed.
+// TestWorkerThatFirstReportsItsStartTime: an incarnation that was known by its id alone, as from an
+// entry without a start time, is the one that answers. Its runs go on and it has not crashed.
 func TestWorkerThatFirstTellsWhenItWasBorn(t *testing.T) {
 	x := newRestartCore(t)
 	x.life = "w"
@@ -293,10 +292,9 @@
 	}
 }
 
-// TestEndsAreAcknowledgedOfTheLifeThatListedThem: a poll that lets a worker forget ends would
-// have the next life forget its own ones, unread. So none does while a start may be carried out
-// by the next life. The ends of tasks that were started before the restart was known were
-// forgotten, and the tasks started again.
+// TestEndsAreAcknowledgedToTheirIncarnation: a poll that acknowledges ends could make the next
+// incarnation forget its own ends unread, and their tasks would start again. So no poll acknowledges
+// ends while a start may be carried out by the next incarnation.
 func TestEndsAreAcknowledgedOfTheLifeThatListedThem(t *testing.T) {
 	x := newRestartCore(t)
 	starts := x.submit(1, 4, false)
@@ -323,7 +321,8 @@
 	}
 }
 
-// TestWorkersThatTellNoBirthAreServedAsBefore: an order to another life of them is refused.
+// TestWorkersWithoutAStartTimeAreServed: workers that report no start time get acknowledgements at
+// once, since they refuse an order meant for another incarnation.
 func TestWorkersThatTellNoBirthAreServedAsBefore(t *testing.T) {
 	x := newRestartCore(t)
 	x.life = "w"
@@ -340,9 +339,9 @@
 	}
 }
 
-// TestOrdersOfTheLifeBeforeAreFenced: calls name a worker's id only, and deadlines mean another
-// time on the next life's clock. So what was sent before a life was known bears a lower token
-// than what that life has answered, and it proves no other owner that such an order is refused.
+// TestOrdersToThePreviousIncarnationAreFenced: calls name only a worker's id, and deadlines mean
+// another time on the next incarnation's clock. So what was sent before an incarnation was known has
+// a lower token than what it has answered, and the refusal of such an order proves no other owner.
 func TestOrdersOfTheLifeBeforeAreFenced(t *testing.T) {
 	x := newRestartCore(t)
 	starts := x.submit(1, 1, false)
@@ -350,11 +349,11 @@
 	x.pollAll(nil)
 	fenced := x.pollAll(nil)
 	if len(fenced) != 1 || fenced[0].Token <= starts[0].Token {
-		t.Fatalf("the next life is polled with %+v after a start with token %d", fenced, starts[0].Token)
+		t.Fatalf("the next incarnation is polled with %+v after a start with token %d", fenced, starts[0].Token)
 	}
 	x.core.OrderDone(starts[0], Answer{Outcome: OutcomeFenced, ClockMS: x.clock}, x.now)
 	if x.core.Deposed() {
-		t.Error("an order of its own that was refused ended the term")
+		t.Error("the refusal of this owner's own order ended the term")
 	}
 	order := x.core.PlanHold(x.life, x.now).Order
 	x.core.HoldDone(order, HoldReply{}, OutcomeFenced, x.now)
@@ -363,8 +362,8 @@
 	}
 }
 
-// TestTermEndsBeforeItsTokens: each further life of an id takes a token, and none may be one
-// of the next term.
+// TestTermEndsBeforeItsTokens: each further incarnation under an id takes a token, and the term must
+// end before it takes one of the next term.
 func TestTermEndsBeforeItsTokens(t *testing.T) {
 	x := newRestartCore(t)
 	for n := int64(1); !x.core.Deposed(); n++ {
@@ -381,11 +380,11 @@
 	}
 }
 
-// TestAcknowledgementThatTheNextLifeMayHaveTaken: a life that may have been sent an
-// acknowledgement meant for the one before gets no tasks: it may forget as many of its own ends
+// TestAcknowledgementThatTheNextIncarnationMayHaveTaken: an incarnation that may have received an
+// acknowledgement meant for the previous one gets no tasks: it may forget as many of its own ends
 // before they are read.
 func TestAcknowledgementThatTheNextLifeMayHaveTaken(t *testing.T) {
-	for _, answered := range []bool{false, true} { // the poll that acknowledges, by the next life
+	for _, answered := range []bool{false, true} { // whether the next incarnation answers the poll that acknowledges
 		x := newRestartCore(t)
 		starts := x.submit(1, 2, false)
 		x.answer(starts)
@@ -410,15 +409,15 @@
 			t.Errorf("answered %v: a task is started at %s", answered, got[0].Worker)
 		}
 		if n := x.core.WorkersBarred("ends_doubted", x.now); n != 1 {
-			t.Errorf("answered %v: %d workers whose ends are doubted, want 1", answered, n)
+			t.Errorf("answered %v: %d workers excluded for their ends, want 1", answered, n)
 		}
 	}
 }
 
-// TestLeasesOfALifeThatWasNotHeardOf: a start that was ordered of a life may be carried out by
-// the next one, where its deadline, read on another clock, is cut to the longest lease only. So
-// while the worker is silent, the task waits for longer than the leases of the life that was
-// known; what that life has listed has ended with these.
+// TestLeasesOfAnUnknownIncarnation: a start that was sent to an incarnation may be carried out by
+// the next one, where its deadline, read on another clock, is only limited to the longest lease. So
+// while the worker is silent, the task waits longer than the leases of the known incarnation; runs
+// that this one has listed end with these leases.
 func TestLeasesOfALifeThatWasNotHeardOf(t *testing.T) {
 	x := newRestartCore(t)
 	listed := x.submit(1, 1, false)
@@ -441,8 +440,8 @@
 			}
 		}
 	}
-	// The longest lease on a slow clock: of the first answer, and of the last call with a
-	// deadline, which may be carried out late.
+	// The longest lease on a slow clock: that from the first answer, and that from the last call
+	// with a deadline, which may be carried out late.
 	longest := time.Duration(float64(x.core.params.MaxTaskLease) / clockRate)
 	if at := released[listed[0].Task]; at == 0 || at > longest+300*time.Millisecond {
 		t.Errorf("a run that had been listed is given up after %v, the longest lease is %v", at, longest)
@@ -452,9 +451,9 @@
 	}
 }
 
-// TestOwnerThatMayBeReplacedTrustsInFreshAnswersOnly: once another owner may be there, a life
-// that has restarted since its newest answer would carry out a start of this one, of which the
-// other one knows nothing.
+// TestOwnerThatMayBeReplacedNeedsFreshAnswers: once another owner may be active, an incarnation
+// that has started since the newest answer would carry out a start of this owner, of which the
+// other owner has no record.
 func TestOwnerThatMayBeReplacedTrustsInFreshAnswersOnly(t *testing.T) {
 	for _, id := range []WorkerID{LifeID("w", bornFirst), "w"} {
 		x := newRestartCore(t)
--- a/dispatch/sameid_test.go
+++ b/dispatch/sameid_test.go
@@ -5,12 +5,9 @@
 	"time"
 )
 
-// TestNewJobUnderADroppedID: a job that is handed in after the records of an ended one
-// of its id were removed is a job, also if the owner hears of the removal and of the
-// new record in one answer.
-//
-// Its customer was told that it is accepted, and would see it queued for as long as
-// the owner lives. Ids are used again only long after they ended, if ever.
+// TestNewJobUnderADroppedID: a job that is submitted after the records of an ended job with its id
+// were removed is accepted, even if the owner receives the removal and the new record in one answer.
+// Otherwise it would stay queued, although accepted, for as long as the owner runs.
 func TestNewJobUnderADroppedID(t *testing.T) {
 	c := New(Params{JobKept: time.Second, OwnerTTL: time.Hour, OwnerHorizon: time.Hour, MaxTaskLease: 6 * time.Second}, 1, nil)
 	c.Renewed(0)
@@ -25,7 +22,7 @@
 	now := Instant{Steady: 2 * time.Second}
 	c.Tick(now)
 	c.Removed(1, 70)
-	c.AddRecordedJob(spec, 71, now) // in the answer that also tells of 70
+	c.AddRecordedJob(spec, 71, now) // in the answer that also reports revision 70
 	c.Tick(now)
 	c.IntakeTaken(71)
 	if len(c.jobs) != 1 {
@@ -33,7 +30,7 @@
 	}
 }
 
-// TestOldRecordOfADroppedID: a record from before the removal is no new job.
+// TestOldRecordOfADroppedID: a record from before the removal does not start a new job.
 func TestOldRecordOfADroppedID(t *testing.T) {
 	core, now := endedCore(t)
 	core.Removed(1, 70)
@@ -44,17 +41,15 @@
 	}
 }
 
-// TestNewJobIsHeardOfBeforeTheRemoval: a job that is handed in under the id of an ended one,
-// and whose record is heard of before the answer to the removal, is a job.
-//
-// Its customer was told that it is accepted, and would see it queued for as long as the owner
-// lives.
+// TestNewJobIsReceivedBeforeTheRemoval: a job that is submitted under the id of an ended one is
+// accepted, even if its record is received before the answer to the removal. Otherwise it would
+// stay queued, although accepted, for as long as the owner runs.
 func TestNewJobIsHeardOfBeforeTheRemoval(t *testing.T) {
 	core, now := endedCore(t)
 	spec := simpleJob(1, 1)
 	core.AddRecordedJob(spec, 71, now)
 	core.IntakeTaken(71)
-	core.Removed(1, 70) // its answer was slower than the watch
+	core.Removed(1, 70) // its answer arrives after the watch's update
 	core.IntakeTaken(72)
 	core.Tick(now)
 	if core.jobs[spec.ID] == nil {
--- a/dispatch/silentend_test.go
+++ b/dispatch/silentend_test.go
@@ -7,13 +7,10 @@
 	"leverstile.dev/job"
 )
 
-// TestSilentEndOfASuspectCountsForTheLimit: a task crashes five workers, the first of which
-// is cut off as it crashes, while another worker crashes at each of the other moments. It is
-// not started a sixth time.
-//
-// Users would see a start too many after three workers have crashed under a task: the link
-// of one of them broke as it crashed, so that its life ended in silence, and nothing was
-// known of that start.
+// TestSilentEndOfASuspectCountsForTheLimit: a task crashes five workers, the first of which is cut
+// off as it crashes, so that its incarnation ends in silence. That start must count towards
+// maxCrashes, or the task is started a sixth time. Another worker crashes at each other crash, so
+// that none is isolated.
 func TestSilentEndOfASuspectCountsForTheLimit(t *testing.T) {
 	const cutFor = 2 * time.Second
 	f := newCrashFleet(t, 24)
--- a/dispatch/suspect_test.go
+++ b/dispatch/suspect_test.go
@@ -11,7 +11,7 @@
 	"leverstile.dev/job"
 )
 
-// crashingJob is a job with other tasks beside task 0, which crashes its workers.
+// crashingJob returns a job of four tasks and a kind of step; task 0 is meant to crash its workers.
 func crashingJob(id int, kind string) *job.Spec {
 	spec := simpleJob(id, 4)
 	switch kind {
@@ -33,17 +33,18 @@
 	return spec
 }
 
+// firstTaskOf returns a function that reports whether a task is the first one of a job.
 func crashesOf(spec *job.Spec) func(job.TaskID) bool {
 	return func(id job.TaskID) bool { return id.Job == spec.ID && id.Index == 0 }
 }
 
-// checkGivenUp fails unless a job is shown as failed, no task of it was started too often
-// and no other job has failed.
+// checkGivenUp checks that a job has failed, that its first task was started at most
+// mostStartsOfACrasher times, and that no other job has failed.
 func (f *crashFleet) checkGivenUp(bad *job.Spec, others ...*job.Spec) {
 	f.t.Helper()
 	for id, runs := range f.starts {
 		if id.Job == bad.ID && id.Index == 0 && len(runs) > mostStartsOfACrasher {
-			f.t.Errorf("%v was started %d times, want %d at the most", id, len(runs), mostStartsOfACrasher)
+			f.t.Errorf("%v was started %d times, want at most %d", id, len(runs), mostStartsOfACrasher)
 		}
 	}
 	if s := f.state(bad); s != job.Failed {
@@ -51,7 +52,7 @@
 	}
 	for _, spec := range others {
 		if s := f.state(spec); s == job.Failed {
-			f.t.Errorf("job %s beside it has failed", spec.ID)
+			f.t.Errorf("job %s, which crashes nothing, has failed", spec.ID)
 		}
 	}
 }
@@ -65,8 +66,8 @@
 	return n
 }
 
-// TestCrashersOfEachKindAreGivenUp: whatever kind of step a task is of, three workers are
-// enough to know that it crashes them, and no job beside it fails.
+// TestCrashersOfEachKindAreGivenUp: whatever the kind of its step, a task that crashes its
+// workers is given up after three of them, and no other job fails.
 func TestCrashersOfEachKindAreGivenUp(t *testing.T) {
 	for _, kind := range []string{"plain", "gang", "gang of one rack", "lasting", "timed", "copies", "fills", "spread"} {
 		t.Run(kind, func(t *testing.T) {
@@ -89,8 +90,8 @@
 	}
 }
 
-// TestManyCrashersAreToldApart: several at once, also such as were started together, are all
-// given up after three or four workers each, and none of the others.
+// TestManyCrashersAreDistinguished: several tasks that crash their workers at once, including some
+// that were started together, are all given up after a few workers each, and no other task is.
 func TestManyCrashersAreToldApart(t *testing.T) {
 	f := newCrashFleet(t, 24)
 	good := simpleJob(50, 100)
@@ -111,8 +112,8 @@
 	}
 }
 
-// TestCrashesOutliveTheOwner: the next owner goes on counting, whether the owner dies after
-// it has counted a crash, while the worker is away, or hands over.
+// TestCrashesOutliveTheOwner: the next owner continues the count of crashes, whether the owner
+// ends after it has counted one, while the worker is down, or long after.
 func TestCrashesOutliveTheOwner(t *testing.T) {
 	for name, after := range map[string]time.Duration{
 		"while the worker is away": time.Second, "after each crash was counted": 3500 * time.Millisecond, "at each third crash": 10 * time.Second,
@@ -139,12 +140,9 @@
 	}
 }
 
-// TestCrashInTheMomentOfATakeover: the owner dies as the worker crashes, before it has written
-// anything of that. Others crash at each of the later moments, so that none of these proves
-// what the task does: the most starts are what ends it.
-//
-// Found by the soak, seed 1000: the owner was killed 66 ms after the task had crashed its
-// first worker; the next one counted five more.
+// TestCrashDuringTakeover: the owner ends as the worker crashes, before it has written anything
+// of the crash, and the next owner must not allow a full number of further crashes. Another worker
+// crashes at each later crash, so that none is isolated and maxCrashes ends the job.
 func TestCrashInTheMomentOfATakeover(t *testing.T) {
 	f := newCrashFleet(t, 24)
 	bad, good := simpleJob(1, 1), simpleJob(2, 24)
@@ -172,8 +170,8 @@
 	f.checkGivenUp(bad, good)
 }
 
-// TestStartOfASuspectWaitsForTheStore: what is known of its crashes would be lost with the
-// owner otherwise.
+// TestStartOfASuspectWaitsForTheStore: until the store holds the crashes of a suspect, it is not
+// started again; otherwise the end of the owner would lose them.
 func TestStartOfASuspectWaitsForTheStore(t *testing.T) {
 	f := newCrashFleet(t, 12)
 	bad := simpleJob(1, 1)
@@ -183,25 +181,25 @@
 	f.storeDown = true
 	f.pass(20 * time.Second)
 	if n := f.crashed(); n != 1 {
-		t.Errorf("%d workers have crashed while the store was out, want the first only", n)
+		t.Errorf("%d workers have crashed while the store was down, want only the first", n)
 	}
 	e := f.core.Explain(bad.ID, f.now)
 	if len(e.Tasks) != 1 || !strings.Contains(e.Tasks[0].WaitsFor, "store") || e.Tasks[0].Crashes != 1 {
-		t.Errorf("explained as %+v", e.Tasks)
+		t.Errorf("Explain returned %+v", e.Tasks)
 	}
 	f.storeDown = false
 	f.pass(60 * time.Second)
 	f.checkGivenUp(bad)
 }
 
-// TestVMsThatComeBackLateCountTheirCrashes: leases are over before the crash is certain, and
-// the task runs elsewhere then.
+// TestVMsThatComeBackLateCountTheirCrashes: a crash also counts if it is proven only after the
+// leases have expired, when the task already runs elsewhere.
 func TestVMsThatComeBackLateCountTheirCrashes(t *testing.T) {
-	for _, away := range []time.Duration{6 * time.Second, 9 * time.Second, 15 * time.Second, 25 * time.Second} {
-		t.Run(away.String(), func(t *testing.T) {
+	for _, downFor := range []time.Duration{6 * time.Second, 9 * time.Second, 15 * time.Second, 25 * time.Second} {
+		t.Run(downFor.String(), func(t *testing.T) {
 			f := newCrashFleet(t, 12)
 			bad, good := simpleJob(1, 1), simpleJob(2, 24)
-			f.crashDown = away
+			f.crashDown = downFor
 			f.crasher = crashesOf(bad)
 			f.core.AddJob(good, nil, false, f.now)
 			f.core.AddJob(bad, nil, false, f.now)
@@ -211,22 +209,21 @@
 	}
 }
 
-// TestEndsThatAreNoCrashes: a task whose workers are drained, cut off, lost with their racks
-// or with an evacuated data centre, or live on behind a refused connection, is not suspected,
-// however often.
+// TestEndsThatAreNoCrashes: a task is not suspected if its workers are drained, cut off, lost
+// with their racks, or keep running while they refuse connections, however often.
 func TestEndsThatAreNoCrashes(t *testing.T) {
-	const away = 2 * time.Second
+	const downFor = 2 * time.Second
 	for name, end := range map[string]func(f *crashFleet, vm string){
 		"drained": func(f *crashFleet, vm string) {
 			f.draining[vm] = true
 			f.pass(time.Second)
-			f.end(vm, away)
+			f.end(vm, downFor)
 			f.draining[vm] = false
 		},
 		"cut off and started again": func(f *crashFleet, vm string) {
 			f.cut[vm] = true
 			f.pass(2 * time.Second)
-			f.end(vm, away)
+			f.end(vm, downFor)
 			f.cut[vm] = false
 		},
 		"cut off for longer than its leases": func(f *crashFleet, vm string) {
@@ -237,14 +234,14 @@
 		"lost with its rack": func(f *crashFleet, vm string) {
 			for _, other := range f.vms {
 				if f.info(other).Rack == f.info(vm).Rack {
-					f.end(other, away)
+					f.end(other, downFor)
 				}
 			}
 		},
 		"refuses connections for longer than its leases": func(f *crashFleet, vm string) {
 			f.down[vm] = f.now.Steady + time.Hour
 			f.pass(8 * time.Second)
-			delete(f.down, vm) // the same life answers
+			delete(f.down, vm) // the same incarnation answers
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -277,12 +274,12 @@
 	}
 }
 
-// TestWavesOfCrashesFailNoJob: workers crash at random, as many at a time as users expect
-// (15%) and one wave after the other, as in a fleet with a fault of its own; tasks that were
-// there three times only had no luck.
+// TestWavesOfCrashesFailNoJob: workers crash at random, 15% at a time as users expect and wave
+// after wave, as in a fleet with a fault of its own. Tasks that were at three crashing workers
+// by chance must not fail their jobs.
 func TestWavesOfCrashesFailNoJob(t *testing.T) {
 	if testing.Short() {
-		t.Skip("it is played without -short")
+		t.Skip("long test, skipped with -short")
 	}
 	const share = 0.15
 	for seed := range uint64(10) {
@@ -317,8 +314,8 @@
 	}
 }
 
-// TestLateEndDoesNotClear: an end of a run before the crashes, told late, says nothing of
-// them; one after them does.
+// TestLateEndDoesNotClear: an end of a run before the crashes that is reported late proves
+// nothing about them; one of a later run does.
 func TestLateEndDoesNotClear(t *testing.T) {
 	f := newCrashFleet(t, 12)
 	spec := simpleJob(1, 1)
@@ -326,11 +323,11 @@
 	f.core.AddJob(spec, nil, false, f.now)
 	f.pass(time.Second)
 	first := f.core.jobs[spec.ID].steps[0].tasks[0].attempt
-	vm, life, run := first.worker.info.VM, first.worker.info.ID, first.run
+	vm, incarnation, run := first.worker.info.VM, first.worker.info.ID, first.run
 	f.cut[vm] = true
-	f.pass(15 * time.Second) // its leases are over, the task runs elsewhere
+	f.pass(15 * time.Second) // its leases have expired, the task runs elsewhere
 	second := f.core.jobs[spec.ID].steps[0].tasks[0].attempt
-	if second == nil || second.worker.info.ID == life {
+	if second == nil || second.worker.info.ID == incarnation {
 		t.Fatal("the task was not started elsewhere")
 	}
 	f.end(second.worker.info.VM, crashDown)
@@ -345,12 +342,12 @@
 	if n := crashes(); n != 1 {
 		t.Fatalf("%d crashes, want 1", n)
 	}
-	delete(f.running[life], id)
-	f.ended[life] = []EndedTask{{Number: 1, Task: id, Run: run, Kind: EndFailed}}
+	delete(f.running[incarnation], id)
+	f.ended[incarnation] = []EndedTask{{Number: 1, Task: id, Run: run, Kind: EndFailed}}
 	f.cut[vm] = false
 	f.pass(time.Second)
 	if n := crashes(); n != 1 {
-		t.Errorf("%d crashes after the end of an earlier run was told, want 1", n)
+		t.Errorf("%d crashes after the end of an earlier run was reported, want 1", n)
 	}
 	f.finish(id, EndFailed)
 	f.pass(time.Second)
@@ -359,8 +356,9 @@
 	}
 }
 
-// TestSuspectsAreStartedApart: the next crash tells them apart, and what serves customers is
-// not beside a task on trial that was just started.
+// TestSuspectsAreStartedApart: suspects are started at different workers, so that the next crash
+// can be attributed to one of them, and nothing else is started beside a recently started task on
+// trial, so that its crash does not affect tasks that serve customers.
 func TestSuspectsAreStartedApart(t *testing.T) {
 	f := newCrashFleet(t, 12)
 	spec := simpleJob(1, 6)
@@ -408,7 +406,7 @@
 	}
 }
 
-// TestRosterKeepsYoungRuns: entries of another writer name no task, and harm nothing.
+// TestRosterKeepsRecentRuns: roster entries with task names that are invalid or unknown are harmless.
 func TestRosterKeepsYoungRuns(t *testing.T) {
 	now := Instant{Steady: time.Second}
 	entry := RosterEntry{ID: "old", Address: "old", VM: "m1", Closed: true, Tasks: []string{"x"}, Young: []LostRun{{Task: "x", Run: 1}, {Task: fmt.Sprintf("%016x.0.0.9", 1), Run: 2}}}
--- a/dispatch/unconfirmed_test.go
+++ b/dispatch/unconfirmed_test.go
@@ -8,14 +8,12 @@
 	"leverstile.dev/job"
 )
 
-// TestUnansweredStartsBlameNoTask: starts that get lost on their way say nothing of the crashes
-// that their workers have afterwards, whenever these come. The job is kept and its task runs.
-//
-// What users saw: a job was shown as failed for good, of a task that crashes no worker. Two of
-// the three runs that were counted had never begun.
+// TestUnansweredStartsBlameNoTask: starts that are lost on their way prove nothing about crashes of
+// their workers afterwards, whenever these come. A job failed for good although two of its three
+// counted runs had never started; here it is kept and its task runs.
 func TestUnansweredStartsBlameNoTask(t *testing.T) {
 	if testing.Short() {
-		t.Skip("it is played without -short")
+		t.Skip("long test, skipped with -short")
 	}
 	const lostStarts = 3
 	for after := 20 * time.Millisecond; after <= startWindow+500*time.Millisecond; after += 60 * time.Millisecond {
@@ -63,8 +61,8 @@
 	return c.jobs[spec.ID].steps[0].tasks[0].lastStart.run
 }
 
-// TestCrashThatBreaksOffItsStartCounts: a task that crashes its worker before the start is
-// answered is given up like others.
+// TestCrashThatBreaksOffItsStartCounts: a task that crashes its worker before the call of its start
+// is answered is given up after three crashes, too.
 func TestCrashThatBreaksOffItsStartCounts(t *testing.T) {
 	for _, sameID := range []bool{false, true} {
 		f := newCrashFleetOf(t, 12, sameID)
--- a/dispatch/unheard.go
+++ b/dispatch/unheard.go
@@ -46,8 +46,8 @@
 }
 
 // forgetUnread forgets the tasks that may have run at lost workers, once no worker of the
-// previous owner is awaited and no possible crash is left: owners may end before such a
-// task is started again.
+// previous owner is awaited and each task with a possible crash has outlived a start since.
+// Until then the record is kept: owners may end before such a task is started again.
 func (c *Core) forgetUnheard() {
 	if len(c.unresolved) == 0 && !c.unknown && c.doubtful == 0 && !c.lostUnheard.none() {
 		c.lostUnheard, c.lostInTerm = unheardTasks{}, unheardTasks{}
--- a/dispatch/unheard_test.go
+++ b/dispatch/unheard_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A record of lost workers that can't be read stands for all tasks, one that can for those
-// that it names.
+// TestUnreadRecords: an unread record that can't be decoded stands for all tasks, a valid one for
+// those that it names.
 func TestUnheardRecords(t *testing.T) {
 	gang, single := simpleJob(1, 2), simpleJob(2, 2)
 	gang.Steps[0].Gang = true
