--- a/dispatch/calm.go
+++ b/dispatch/calm.go
@@ -131,9 +131,9 @@
 // something else may crash workers, and the crash proves less about the task.
 func (n crashesNear) alone(t *task) bool { return n.count(t, n.at-sameMoment) == 0 }
 
-// lowCrashRate reports whether at most lowCrashShare of the VMs had another worker crash in
-// the crashRateWindow before a time. If many crash, a recently started run may be at one of
-// them by chance. The rate is unknown, and not low, if the window began before this owner's term.
+// lowCrashRate reports whether at most lowCrashShare of the VMs crashed in the crashRateWindow
+// before a time without a recently started run of the task. If more did, such a run may be at one
+// by chance. If the window began before this owner's term, the rate is unknown and not low.
 func (c *Core) calm(t *task, near crashesNear) bool {
 	known := near.at-calmTime >= c.firstRenewed
 	return known && float64(near.count(t, near.at-calmTime)) <= calmShare*float64(len(c.lives))
--- a/dispatch/crash_test.go
+++ b/dispatch/crash_test.go
@@ -46,7 +46,7 @@
 	rackSize int
 	// startFault injects a fault into the call of a start, if set: it returns whether the worker
 	// starts the run, and how the call ends.
-	startFault func(o Order) (begun bool, outcome Outcome)
+	startFault func(o Order) (started bool, outcome Outcome)
 }
 
 const (
@@ -228,14 +228,14 @@
 func (f *crashFleet) orders() {
 	for _, o := range f.core.TakeOrders() {
 		outcome := f.reach(o.Address, o.Worker)
-		begun := outcome == OutcomeOK
-		if begun && o.Kind == OrderStart && f.startFault != nil {
-			begun, outcome = f.startFault(o)
+		started := outcome == OutcomeOK
+		if started && o.Kind == OrderStart && f.startFault != nil {
+			started, outcome = f.startFault(o)
 		}
-		if begun {
+		if started {
 			f.carryOut(o)
 		}
-		refused := outcome == OutcomeBroken && !begun
+		refused := outcome == OutcomeBroken && !started
 		f.core.OrderDone(o, Answer{Outcome: outcome, ClockMS: f.now.Steady.Milliseconds(), Unsent: refused}, f.now)
 	}
 }
@@ -273,13 +273,13 @@
 	if f.core.RosterStale() {
 		f.roster.put(storeRoster(f.t, f.core))
 	}
-	unheard, err := f.core.Unheard()
+	unread, err := f.core.Unheard()
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	if unheard != nil {
-		f.unheard = unheard
-		f.core.UnheardStored(unheard)
+	if unread != nil {
+		f.unheard = unread
+		f.core.UnheardStored(unread)
 	}
 }
 
--- a/dispatch/suspect.go
+++ b/dispatch/suspect.go
@@ -15,8 +15,8 @@
 	// give up tasks that only were at such workers.
 	crashLimit = 3
 	aloneLimit = 2
-	// maxCrashes in a row, a task is given up whatever else crashes: users allow
-	// two starts after the third crash.
+	// maxCrashes in a row, crashLimit of them not inconclusive, a task is given up whatever
+	// else crashes: users allow two starts after the third crash.
 	mostCrashes = 5
 )
 
--- a/dispatch/suspect_test.go
+++ b/dispatch/suspect_test.go
@@ -72,14 +72,14 @@
 	for _, kind := range []string{"plain", "gang", "gang of one rack", "lasting", "timed", "copies", "fills", "spread"} {
 		t.Run(kind, func(t *testing.T) {
 			f := newCrashFleet(t, 12)
-			bad, good, lasting := crashingJob(1, kind), simpleJob(2, 24), crashingJob(3, "lasting")
+			bad, good, longRunning := crashingJob(1, kind), simpleJob(2, 24), crashingJob(3, "lasting")
 			f.crasher = crashesOf(bad)
 			f.core.AddJob(good, nil, false, f.now)
-			f.core.AddJob(lasting, nil, false, f.now)
+			f.core.AddJob(longRunning, nil, false, f.now)
 			f.pass(time.Second)
 			f.core.AddJob(bad, nil, false, f.now)
 			f.pass(60 * time.Second)
-			f.checkGivenUp(bad, good, lasting)
+			f.checkGivenUp(bad, good, longRunning)
 			if n := f.crashed(); n > crashLimit {
 				t.Errorf("%d workers have crashed, want %d", n, crashLimit)
 			}
@@ -141,8 +141,9 @@
 }
 
 // TestCrashDuringTakeover: the owner ends as the worker crashes, before it has written anything
-// of the crash, and the next owner must not allow a full number of further crashes. Another worker
-// crashes at each later crash, so that none is isolated and maxCrashes ends the job.
+// of the crash, and the next owner must not allow maxCrashes further ones: an owner killed 66 ms after
+// the first crash led to five more. Another worker crashes at each later crash, so that none is
+// isolated and maxCrashes ends the job.
 func TestCrashInTheMomentOfATakeover(t *testing.T) {
 	f := newCrashFleet(t, 24)
 	bad, good := simpleJob(1, 1), simpleJob(2, 24)
