--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -7,37 +7,37 @@
 )
 
 // Instant is a reading of both clocks of the process. Decisions use Steady;
-// UnixMS only serves times that customers name.
+// UnixMS serves only times that customers name.
 type Instant struct {
 	Steady time.Duration
 	UnixMS int64
 }
 
-// Params are the figures that decisions rest on.
+// Params are the times and factors that decisions use.
 type Params struct {
-	// TaskLease is how far ahead leases on what runs at workers are given.
+	// TaskLease is the length of the leases that are given on the runs at workers.
 	TaskLease time.Duration
 	// MaxTaskLease is the longest lease that a worker accepts.
 	MaxTaskLease time.Duration
-	// OverTarget is how long fills may keep a serving task over its target.
+	// OverTarget is how long fill tasks may keep a serving task over its target.
 	OverTarget time.Duration
 	// JobKept is how long a finished job's record is kept.
 	JobKept time.Duration
-	// RemoteFactor is how many times longer a task takes away from its data.
+	// RemoteFactor is how many times longer a task takes when it is not near its data.
 	RemoteFactor float64
-	// Restore is how long a task reads its checkpoint at a start.
+	// Restore is how long a task reads its checkpoint when it starts.
 	Restore time.Duration
-	// PaceAfter is the age from which a run can be paced.
+	// PaceAfter is the age from which the CPU share of a run can be limited.
 	PaceAfter time.Duration
-	// OwnerTTL is the owner's lease at the store. Until OwnerHorizon after its
-	// last renewal, an owner that does not reach the store gives orders.
+	// OwnerTTL is the owner's lease at the store. An owner that does not reach the
+	// store gives orders until OwnerHorizon after its last renewal.
 	OwnerTTL, OwnerHorizon time.Duration
-	// Maintenance is how long a VM is down for its upkeep.
+	// Maintenance is how long a VM is down for maintenance.
 	Maintenance time.Duration
-	// RoomNotice is how old the list of workers may be at starts in a service whose
-	// workers do not guard their room: it may have shrunk since. 0 is no bound.
+	// MaxWorkerListAge is how old the list of workers may be at starts in a service whose
+	// workers do not check their capacity, which may have shrunk since. 0 means no limit.
 	RoomNotice time.Duration
-	// HolderGap is the least time between orders for VMs by two owners.
+	// OwnerGap is the least time between VM orders of two owners.
 	HolderGap time.Duration
 	// RecoveryWait is how long after a takeover orders of the previous owner
 	// may still be in force at a worker that does not answer.
@@ -51,63 +51,64 @@
 	DefaultTaskLease = 5 * time.Second
 )
 
-// Core holds the jobs and workers of a cell and decides. It has no I/O and no
-// locks; the caller serializes all calls.
+// Core holds the jobs and workers of a cell and decides where tasks run. It does no
+// I/O and takes no locks; the caller serializes all calls.
 type Core struct {
 	params Params
 	term   uint64
-	// nextRun counts starts; with the term in the upper bits, run numbers
-	// rise over changes of the owner without a record of each start.
+	// nextRun counts starts. With the term in the upper bits, run numbers rise
+	// across changes of the owner without a stored record of each start.
 	nextRun uint64
-	// validUntil is when the right to give orders ends, certainUntil when
-	// another owner may be there; see Renewed.
+	// validUntil is when the right to give orders ends, leaseHeldUntil the time from
+	// which another owner may exist; see Renewed.
 	validUntil, certainUntil time.Duration
-	// firstRenewed is when the lease was first known to hold.
+	// leaseHeldSince is when the lease was first known to hold.
 	firstRenewed time.Duration
-	// deposed is set once a worker has told of a higher term.
+	// deposed is set once a worker has reported a higher term.
 	deposed bool
 
 	config *job.Config
-	queues map[string]job.Queue // every queue ever seen, newest terms
-	// services holds those of all queues.
+	queues map[string]job.Queue // all queues seen so far, with their newest terms
+	// services holds the services of all queues.
 	services map[string]bool
-	// unguarded holds services whose workers do not guard their room, listedAt is when
-	// the list of workers was last taken in.
+	// unguarded holds the services whose workers do not check their capacity, listedAt is
+	// when the list of workers was last applied.
 	unguarded map[string]bool
 	listedAt  time.Duration
 	jobs      map[string]*jobState
 	workers   map[WorkerID]*worker
-	lives     map[string][]*worker // of workers, by VM where that is known
+	// incarnations holds the workers by VM, where the VM is known.
+	lives map[string][]*worker
 	// order holds all workers, members those of each service, by id.
 	order   []*worker
 	members map[string][]*worker
 	racks   map[string][]*worker
-	// unstoredEnds are the workers with ends that wait to be stored.
+	// unstoredEnds are the workers with ends that are not stored yet.
 	unstoredEnds map[*worker]bool
 	reach        reach
 	slow         map[string]*slowCount // by service
 	work         work
-	// names holds the lives of each worker's id.
+	// incarnationsByName holds the incarnations of each worker's id.
 	names map[string]*namesakes
-	// over holds lives that have ended and may still be listed.
+	// ended holds incarnations that have ended and may still be listed.
 	over map[WorkerID]bool
 	// unresolved are workers of the previous owner that have not answered
 	// yet: a task in phaseUnknown may run there. openUnresolved counts those
 	// where any task may run.
 	unresolved     map[WorkerID]unresolvedWorker
 	openUnresolved int
-	// lostUnheard holds the tasks of workers that were lost before this owner heard of
-	// them.
+	// lostUnread holds the tasks of workers that were lost before this owner read their
+	// lists.
 	lostUnheard unheardTasks
-	// lostInTerm holds those of workers that were lost in this term.
+	// lostInTerm holds the tasks of workers that were lost in this term.
 	lostInTerm unheardTasks
-	// doubtful counts the tasks with doubts.
+	// possibleCrashTasks counts the tasks with possible crashes.
 	doubtful int
-	// unsentStarts wait for the store, recordedStarts are those of previous owners of
-	// which nothing is known yet, by worker.
+	// unsentStarts wait for the store. recordedStarts, by worker, are starts of previous
+	// owners whose fate is not known yet.
 	unsentStarts   []unsentStart
 	recordedStarts map[WorkerID][]recordedStart
-	// unheardStale is set while the store's record of them is out of date.
+	// unreadStale is set while the store's record of lostUnread is out of date.
 	unheardStale bool
 	// unknown is set while tasks in phaseUnknown wait for settleUnknown.
 	unknown bool
@@ -117,31 +118,33 @@
 	open      []*stepRun // steps with tasks that may start
 	refusals  refusals
 	overload  overload
-	// ratedScratch is reused by choosers, one at a time, candidateScratch by
-	// passes.
+	// ratedScratch is a buffer that choosers reuse, one at a time; candidateScratch is
+	// one that scheduling passes reuse.
 	ratedScratch     ratedWorkers
 	candidateScratch []candidate
 	asks             []AdviceRequest // not taken yet
-	learntAt         time.Duration   // when it was last recorded what was learnt
+	learntAt         time.Duration   // when the learned state was last stored
 	dropped          droppedJobs
-	deferred         []deferredJob // jobs that came while the lease was not sure
-	// cancelled holds jobs that were cancelled before they came, and when that was heard.
+	deferred         []deferredJob // jobs that arrived while the lease was not held for certain
+	// cancelled holds jobs that were cancelled before they arrived, and when the
+	// cancellation was received.
 	cancelled map[string]time.Duration
-	held      map[string]bool // jobs that are left alone; see HoldJob
-	// lostLives holds lives that may have crashed, crashed the newest crash of VMs
-	// that crashed of late, both by VM. suspects counts the tasks with crashes.
+	held      map[string]bool // jobs whose tasks are not touched; see HoldJob
+	// lostIncarnations holds incarnations that may have crashed, crashed the newest crash
+	// of VMs that crashed recently, both by VM. suspects counts the tasks with crashes.
 	lostLives map[string]lostLife
 	crashed   map[string]crashRecord
 	suspects  int
-	// fellSilent is when the newest life of a VM with tasks fell silent that has ended of late.
+	// fellSilent is, by VM, when its newest incarnation with tasks fell silent, if that
+	// incarnation ended recently.
 	fellSilent map[string]time.Duration
-	// comparisons are crashes that are not told apart from others yet.
+	// comparisons are crashes that are not yet distinguished from others.
 	comparisons []crashComparison
-	// nearNow is reused within a pass.
+	// nearNow is a buffer that is reused within a pass.
 	nearNow crashesNear
-	// nextTrial is when the next task on trial may be started.
+	// nextTrial is when the next trial run of a suspect task may be started.
 	nextTrial time.Duration
-	// dirty holds the jobs whose progress is not stored, with their turn.
+	// dirty holds the jobs whose progress is not stored, with their turn to be written.
 	dirty     map[*jobState]uint64
 	waves     map[int64]*waveState
 	upkeeps   []UpkeepOrder // not taken yet
@@ -155,27 +158,27 @@
 	perfByKey map[perfKey]*runTimes
 }
 
-// Stats are counters of what the core decided.
+// Stats are counters of the core's decisions.
 type Stats struct {
 	Starts, Done, Failed, Stopped, Lapsed, Lost, Refused, Unanswered, Moved, Paced uint64
 	// GivenUp counts runs that a worker lists though this owner, which ordered
-	// them, had taken them for not running: each may have run beside another.
+	// them, had concluded that they do not run: each may have run beside another.
 	GivenUp uint64
 	// Crashes counts workers that crashed with tasks, CrashersGivenUp the jobs that
-	// failed since a task of theirs crashed its workers.
+	// failed because a task of theirs crashed its workers.
 	Crashes, CrashersGivenUp uint64
-	// Restarts counts polls that another life answered under the worker's id.
+	// Restarts counts polls that another incarnation answered under the worker's id.
 	Restarts uint64
 }
 
-// work counts what the core looks at, which must not grow faster than the fleet.
+// work counts the core's checks of workers, which must not grow faster than the fleet.
 type work struct {
-	// reachLooks, slowLooks and endLooks are workers that were looked at to tell which
-	// others answer, which are slow, and which ends are stored.
+	// reachChecks, slowChecks and endChecks are checks of workers for which others
+	// answer, which are slow, and whose ends are stored.
 	reachLooks, slowLooks, endLooks uint64
 }
 
-// Decision is one decision or change of belief, for the log.
+// Decision is one decision or change of the core's view, for the log.
 type Decision struct {
 	Event  string
 	Job    string
@@ -183,15 +186,14 @@
 	Run    uint64
 	Worker WorkerID
 	Reason string
-	// Detail holds the figures that decided, where there are any.
+	// Detail holds the values that decided, where there are any.
 	Detail string
-	// Age is that of the input which decided, where there is one.
+	// Age is the age of the input that decided, where there is one.
 	Age time.Duration
 }
 
-// Routine reports whether a decision goes as expected and is one of many: a
-// start, an end, a change of pace. Refusals, failures and changes of belief are
-// not.
+// Routine reports whether a decision is expected and one of many: a start, an
+// end, a change of pace. Refusals, failures and changes of the core's view are not.
 func (d Decision) Routine() bool {
 	switch d.Event {
 	case eventPlaced, eventStarted, eventDone, eventSlowed:
@@ -209,12 +211,11 @@
 	eventSlowed  = "fill_slowed"
 )
 
-// runBits is the number of bits of a run number below the term. 2^28 starts in
-// one term are two days at letter 1's peak; terms then fit 24 bits of the 2^53
-// that JSON numbers carry exactly.
+// runBits is the number of bits of a run number below the term. 2^28 starts in one
+// term last two days at 1550 starts a second, the highest rate expected; terms then fit the remaining 24 bits of the 2^53 that JSON numbers carry exactly.
 const runBits = 28
 
-// New returns a core for one term. Trace is called for each decision.
+// New returns a core for one term. It calls trace for each decision.
 func New(params Params, term uint64, trace func(Decision)) *Core {
 	if params.TaskLease == 0 {
 		params.TaskLease = min(DefaultTaskLease, params.MaxTaskLease)
@@ -235,17 +236,17 @@
 // Term returns the term of the core's orders.
 func (c *Core) Term() uint64 { return c.term }
 
-// Deposed reports whether a worker has told of a higher term.
+// Deposed reports whether a worker has reported a higher term.
 func (c *Core) Deposed() bool { return c.deposed }
 
 // Stats returns the counters.
 func (c *Core) Stats() Stats { return c.stats }
 
-// Suspects returns how many tasks may crash their workers.
+// Suspects returns the number of tasks that may crash their workers.
 func (c *Core) Suspects() int { return c.suspects }
 
-// Renewed tells that the owner's lease at the store was renewed by a call sent
-// at a steady time. Orders are given, and leases reach, until OwnerHorizon
+// Renewed records that the owner's lease at the store was renewed by a call sent
+// at a steady time. Orders may be given, and leases may last, until OwnerHorizon
 // after it.
 func (c *Core) Renewed(sent time.Duration) {
 	if c.certainUntil == 0 {
@@ -255,14 +256,15 @@
 	c.certainUntil = max(c.certainUntil, sent+c.params.OwnerTTL-leaseMargin)
 }
 
-// leaseMargin is kept of the owner's lease, for the rates of two clocks.
+// leaseMargin is the part of the owner's lease that is not used, since two clocks
+// differ in rate.
 const leaseMargin = 100 * time.Millisecond
 
-// certain reports whether no other owner can have taken over yet.
+// holdsLease reports whether no other owner can have taken over yet.
 func (c *Core) certain(now Instant) bool { return now.Steady < c.certainUntil }
 
-// SetConfig puts a version of the configuration into force. A queue that is no
-// longer there keeps its last terms for the jobs that it accepted.
+// SetConfig applies a version of the configuration. A queue that was removed
+// keeps its last terms for the jobs that it accepted.
 func (c *Core) SetConfig(config *job.Config) {
 	if c.config != nil && config.Version < c.config.Version {
 		return
@@ -282,8 +284,8 @@
 	return out
 }
 
-// Tick lets time pass: it gives up on silent workers, asks again for what was
-// not answered and forgets old jobs.
+// Tick does the work that is due by time: it gives up silent workers, repeats
+// unanswered calls, forgets old jobs and schedules.
 func (c *Core) Tick(now Instant) {
 	c.addDeferred(now)
 	c.expireUnresolved(now)
@@ -302,7 +304,7 @@
 	c.Schedule(now)
 }
 
-// tellTask logs a decision on a task.
+// logTask logs a decision on a task.
 func (c *Core) tellTask(event string, t *task, w *worker, run uint64, reason string) {
 	c.trace(taskDecision(event, t, w, run, reason))
 }
@@ -315,8 +317,8 @@
 	return d
 }
 
-// tellGivenUp logs that an attempt is taken for not running, and the figures that
-// say so.
+// logGivenUp logs the conclusion that an attempt does not run, with the values
+// behind it.
 func (c *Core) tellGivenUp(event string, a *attempt, reason, detail string, age time.Duration) {
 	d := taskDecision(event, a.task, a.worker, a.run, reason)
 	d.Detail, d.Age = detail, age
--- a/dispatch/lists.go
+++ b/dispatch/lists.go
@@ -8,18 +8,18 @@
 	"leverstile.dev/job"
 )
 
-// Figures of workers' lists.
+// Limits of workers' lists.
 const (
 	// maxEndsListed is the most ends in one answer.
 	maxEndsListed = 500
-	// foreignRetry is the pause between stops of a run that should not be there.
+	// foreignRetry is the pause between stop orders for a run that the owner did not expect.
 	foreignRetry = 500 * time.Millisecond
 )
 
-// full reports whether the worker may have more ends than it has told.
+// full reports whether the worker may have more ends than it has reported.
 func (r HoldReply) full() bool { return len(r.Ended) >= maxEndsListed }
 
-// takeEnds takes in ends in their order, each once.
+// processEnds processes ends in the order of their numbers, each once.
 func (c *Core) takeEnds(w *worker, ends []EndedTask, now Instant) {
 	slices.SortFunc(ends, func(a, b EndedTask) int { return int(a.Number) - int(b.Number) })
 	for i := range ends {
@@ -30,7 +30,7 @@
 	}
 }
 
-// advanceSeen moves the mark up to which ends may be forgotten over those
+// advanceStoredEnd moves the mark up to which ends may be forgotten past those
 // whose effect the store holds.
 func (w *worker) advanceSeen() {
 	for len(w.ends) > 0 {
@@ -43,7 +43,7 @@
 	}
 }
 
-// takeRunning compares the worker's list with what is expected there.
+// compareRunning compares the worker's list of runs with the expected ones.
 func (c *Core) takeRunning(w *worker, reply HoldReply, now Instant) {
 	listed := make(map[*attempt]bool, len(reply.Running))
 	seenForeign := map[job.TaskID]bool{}
@@ -86,8 +86,8 @@
 	return j.steps[at].tasks[id.Index]
 }
 
-// matchRow returns the attempt that a row speaks of. A run that the previous
-// owner started is adopted.
+// matchRow returns the attempt that a row describes. It adopts a run that the
+// previous owner started.
 func (c *Core) matchRow(w *worker, t *task, row *RunningTask, now Instant) *attempt {
 	if t == nil {
 		return nil
@@ -95,7 +95,7 @@
 	if t.attempt != nil {
 		return t.attemptAt(w, row.Run)
 	}
-	// A gang's members share a run; a lone survivor of an older run is stopped.
+	// A gang's members share a run; a single remaining member of an older run is stopped.
 	adoptable := !w.synced && t.phase != phaseDone && !t.step.job.progress.State.Final() &&
 		(!t.step.spec.Gang || t.step.gangRun == 0 || t.step.gangRun == row.Run)
 	if !adoptable {
@@ -124,7 +124,7 @@
 	return a
 }
 
-// confirm takes in what a row tells of an attempt.
+// confirm applies what a row reports about an attempt.
 func (c *Core) confirm(a *attempt, row *RunningTask, clock int64, now Instant) {
 	t := a.task
 	c.markBegun(t.step.job)
@@ -141,17 +141,17 @@
 	a.missed, a.listed = false, true
 	a.atWork = row.Percent == fullPace
 	c.noteOutlived(a, now)
-	if !a.worker.forLease { // two lists at short intervals tell no speed
+	if !a.worker.forLease { // two lists at short intervals give no measure of speed
 		c.noteProgress(a, row.Percent, now)
 	}
 	c.read(a, row, now)
 }
 
-// missing handles an attempt that a list lacks, and whose end was not told.
+// handleMissing handles an attempt that a list lacks, and whose end was not reported.
 //
 // One such list proves nothing: its clock is that of the answer, and a worker may
-// have gathered it a moment before it carried out the start. So it takes a second
-// one, of a poll that was sent after the first was read.
+// have gathered it just before it carried out the start. So it takes a second
+// list, from a poll that was sent after the first was read.
 func (c *Core) missing(a *attempt, reply HoldReply, now Instant) {
 	if a.ackClock == 0 && reply.ClockMS <= a.deadline {
 		return // the start order may still arrive
@@ -160,10 +160,10 @@
 		return // the list is older than the run
 	}
 	if a.worker.follows && !a.worker.synced {
-		return // an order to the life before may still arrive
+		return // an order to the previous incarnation may still arrive
 	}
 	if reply.full() {
-		return // its end may not have had room in the answer
+		return // its end may not have fitted in the answer
 	}
 	if !a.missed {
 		a.missed, a.missedAt = true, now.Steady
@@ -181,8 +181,8 @@
 	c.release(a, now)
 }
 
-// sizeOf returns what a task takes of a worker, also one of a job that has ended;
-// unsized is true if its job is not known.
+// sizeOf returns the capacity that a task uses at a worker, also for a job that has
+// ended; unsized is true if the job is not known.
 func (c *Core) sizeOf(id job.TaskID) (amount resources, unsized bool) {
 	j := c.jobs[id.Job]
 	if j == nil || id.Step >= len(j.spec.Steps) {
@@ -191,8 +191,8 @@
 	return amountOf(&j.spec.Steps[id.Step]), false
 }
 
-// tellUnexpected logs a run that should not be there, and whose it is: one of this
-// term was given up too early.
+// logUnexpected logs a run that the owner did not expect, and the term that started
+// it: a run of this term was given up too early.
 func (c *Core) tellUnexpected(w *worker, row *RunningTask) {
 	reason := "stopped; of an earlier term"
 	if row.Run>>runBits == c.term {
@@ -202,7 +202,7 @@
 	c.trace(Decision{Event: "run_unexpected", Job: row.Task.Job, Task: row.Task, Run: row.Run, Worker: w.info.ID, Reason: reason})
 }
 
-// stopForeign has a run stopped that the owner does not expect at a worker.
+// stopForeign stops a run that the owner does not expect at a worker.
 func (c *Core) stopForeign(w *worker, row *RunningTask, now Instant) {
 	f := w.foreign[row.Task]
 	if f.run != row.Run {
--- a/dispatch/members.go
+++ b/dispatch/members.go
@@ -7,9 +7,9 @@
 	"leverstile.dev/job"
 )
 
-// SetWorkers takes in the platform's list of workers. The list proves nothing
-// about lives: entries of ended ones lapse late, and a write of an ended life
-// may be carried out after those of the next. Only a worker itself tells.
+// SetWorkers applies the platform's list of workers. The list proves nothing
+// about incarnations: entries of ended ones expire late, and a write of an ended
+// one may be carried out after those of the next. Only a worker itself proves it.
 func (c *Core) SetWorkers(list []WorkerInfo, now Instant) {
 	c.listedAt = now.Steady
 	c.reach.changed()
@@ -17,7 +17,7 @@
 	for _, info := range list {
 		listed[info.ID] = true
 		if c.over[info.ID] {
-			continue // its entry has not lapsed yet, or was written late
+			continue // its entry has not expired yet, or was written late
 		}
 		w := c.workers[info.ID]
 		if w == nil {
@@ -48,14 +48,14 @@
 			c.trace(Decision{Event: "worker_unlisted", Worker: id})
 		}
 		if _, wait := c.unresolved[id]; !w.listed && !wait && w.empty() && len(w.ends) == 0 {
-			// Nothing of this owner runs there or can start. If it is listed
-			// again, its lists are read anew.
+			// No run of this owner is there or can start there. If it is
+			// listed again, its lists are read again.
 			c.forget(w, "not listed and without tasks")
 		}
 	}
 }
 
-// addWorker takes in a life of a worker that was not known before.
+// addWorker adds an incarnation of a worker that was not known before.
 func (c *Core) addWorker(info WorkerInfo, now Instant) *worker {
 	w := &worker{info: info, knownAt: now.Steady, squeeze: 1, foreign: map[job.TaskID]foreignRun{}}
 	c.workers[info.ID] = w
@@ -67,15 +67,15 @@
 	return w
 }
 
-// join puts a worker in its place among all workers, its service's and its rack's, each
-// in the order of their ids.
+// addToIndexes inserts a worker into the lists of all workers, of its service's and of
+// its rack's workers, each ordered by id.
 func (c *Core) join(w *worker) {
 	c.order = insertWorker(c.order, w)
 	c.members[w.info.Service] = insertWorker(c.members[w.info.Service], w)
 	c.racks[w.info.Rack] = insertWorker(c.racks[w.info.Rack], w)
 }
 
-// leave is the opposite of join.
+// removeFromIndexes is the opposite of addToIndexes.
 func (c *Core) leave(w *worker) {
 	c.order = removeWorker(c.order, w)
 	c.members[w.info.Service] = removeWorker(c.members[w.info.Service], w)
@@ -101,7 +101,7 @@
 	return slices.Delete(list, at, at+1)
 }
 
-// setInfo takes in what the platform lists of a worker.
+// setInfo applies what the platform lists about a worker.
 func (c *Core) setInfo(w *worker, info WorkerInfo) {
 	before := w.info
 	if before.Service != info.Service || before.Rack != info.Rack {
--- a/dispatch/orders.go
+++ b/dispatch/orders.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// Figures of orders.
+// Timeouts and limits of orders.
 const (
-	// maxStartTries bounds how often one start is sent; all within its window.
+	// maxStartTries bounds how often one start is sent, always within its start window.
 	maxStartTries = 4
-	// stopRetry is the pause before a stop is sent again whose end is not
+	// stopRetry is the pause before a stop is repeated if the run's end is not
 	// listed. Workers take up to 900 ms.
 	stopRetry = 1 * time.Second
-	// fullPace is a task's pace at its start, in percent.
+	// fullPace is a task's pace at its start, in percent. The pace is a run's CPU share limit.
 	fullPace = 100
-	// fullPause is how long a worker gets nothing after it had no room.
+	// fullPause is how long a worker gets no tasks after it had no capacity.
 	fullPause = 300 * time.Millisecond
-	// unwellPause is the same after it refused for being unwell.
+	// unwellPause is how long a task waits after a worker rejected its start as malformed.
 	unwellPause = 1 * time.Second
 )
 
-// start orders a run of a task.
+// start places a run of a task at a worker, and orders it or has it recorded first.
 func (c *Core) start(t *task, w *worker, run uint64, checkpoint, ticket string, now Instant) {
 	s := t.step
 	deadline := c.deadlineIn(w, startWindow, now)
@@ -56,8 +56,8 @@
 	})
 }
 
-// stop orders the end of an attempt; its end will be listed, or the run will
-// be missing in a list.
+// stop orders an attempt to end; the worker then lists its end, or a list lacks
+// the run.
 func (c *Core) stop(a *attempt, reason string, now Instant) {
 	if a.stopping {
 		return
@@ -68,7 +68,7 @@
 	c.sendStop(a, now)
 }
 
-// phaseOf keeps a task done whatever happens to a run of it.
+// phaseOf keeps a done task in phaseDone, whatever happens to a run of it.
 func phaseOf(t *task, p phase) phase {
 	if t.phase == phaseDone {
 		return phaseDone
@@ -84,7 +84,7 @@
 	})
 }
 
-// OrderDone takes in the answer to an order.
+// OrderDone processes the answer to an order.
 func (c *Core) OrderDone(o Order, ans Answer, now Instant) {
 	w := c.workers[o.Worker]
 	if w == nil {
@@ -143,22 +143,22 @@
 }
 
 // startUnanswered sends the same start again, unless its worker has been closed to new tasks
-// since: the worker carries it out once.
+// since. The worker carries it out once.
 func (c *Core) startUnanswered(a *attempt, o Order, now Instant) {
 	c.stats.Unanswered++
 	again := a.ackClock == 0 && !a.stopping && a.tries < maxStartTries && a.worker.clockNow(now) < a.deadline &&
 		!a.worker.info.Draining && !c.evacuated[a.worker.info.DataCentre]
 	c.tellTask("start_unanswered", a.task, a.worker, a.run, "")
 	if !again {
-		return // the next list after the deadline tells
+		return // the next list after the deadline decides
 	}
 	a.tries++
 	a.worker.leaseSent = now.Steady
 	c.out = append(c.out, o)
 }
 
-// startRefused handles an order that did nothing. If an earlier copy of it was
-// left unanswered, that one may still be carried out: a list must tell.
+// startRefused handles an order that had no effect. If an earlier copy of it was not
+// answered, that copy may still be carried out: then a list decides.
 func (c *Core) startRefused(a *attempt, ans Answer, now Instant) {
 	c.stats.Refused++
 	c.tellGivenUp("start_refused", a, ans.Outcome.String(), fmt.Sprintf("try %d", a.tries), now.Steady-a.started)
@@ -179,7 +179,7 @@
 	}
 }
 
-// stopDone notes that the worker will refuse a start that is still on its way.
+// stopDone records that the worker will refuse a start that has not arrived yet.
 func (c *Core) stopDone(a *attempt, ans Answer) {
 	if ans.Outcome == OutcomeOK {
 		a.ackClock, a.missed = max(a.ackClock, ans.ClockMS), false
@@ -187,7 +187,7 @@
 }
 
 func (a *attempt) paceDone(o Order, ans Answer, now Instant) {
-	a.progress.at = 0 // a measure spans one pace only
+	a.progress.at = 0 // a measurement spans one pace only
 	switch ans.Outcome {
 	case OutcomeOK:
 		a.paced = o.Percent
@@ -198,7 +198,7 @@
 	}
 }
 
-// tickAttempt sends stops again that had no effect yet.
+// tickAttempt repeats stops that had no effect yet.
 func (c *Core) tickAttempt(a *attempt, now Instant) {
 	if a.stopping && now.Steady-a.stopAt >= stopRetry {
 		c.sendStop(a, now)
--- a/dispatch/polls.go
+++ b/dispatch/polls.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// HoldPlan says what to do next for a worker: send Order if Send is set, and
-// come back after Pause otherwise.
+// PollPlan is the next step for a worker: send Order if Send is set, and plan
+// again after Pause otherwise.
 type HoldPlan struct {
 	Order HoldOrder
 	Send  bool
 	Pause time.Duration
-	// Gone is set once the worker needs no more polls ever.
+	// Gone is set once the worker needs no further polls.
 	Gone bool
 }
 
-// idlePause is how often a worker without tasks is looked at again by the
-// loop; nothing is sent.
+// idlePause is the interval at which the polling loop checks a worker without
+// tasks again; nothing is sent.
 const idlePause = 500 * time.Millisecond
 
 // idleRead is the age from which the clock of a worker without tasks is read again.
@@ -24,7 +24,7 @@
 // shorter; after ten minutes none could be given.
 const idleRead = time.Minute
 
-// PlanHold returns the next poll of a worker.
+// PlanPoll returns the next poll of a worker.
 func (c *Core) PlanHold(id WorkerID, now Instant) HoldPlan {
 	w := c.workers[id]
 	if w == nil {
@@ -36,15 +36,15 @@
 	if c.needless(w) {
 		return HoldPlan{Pause: idlePause}
 	}
-	// A worker whose last task has ended is told once more, so that it forgets the end.
+	// A worker whose last task has ended gets one more poll, so that it forgets the end.
 	idle := w.synced && len(w.attempts) == 0 && len(w.foreign) == 0 && len(w.ends) == 0 && w.told >= w.seen
 	if idle && now.Steady-w.clockAt < idleRead {
 		return HoldPlan{Pause: idlePause}
 	}
 	h := HoldOrder{Worker: id, Address: w.info.Address, Token: c.tokenOf(w), Seen: w.acknowledges(now)}
 	w.ackUnanswered = max(w.ackUnanswered, h.Seen)
-	// A poll without an answer may still extend the leases. While a worker is
-	// silent it is only asked, so that its leases come to an end.
+	// An unanswered poll may still extend the leases. While a worker is silent,
+	// polls only ask for its lists, so that its leases expire.
 	if (w.synced || w.partlyRead) && w.holdFails == 0 {
 		h.DeadlineMS = c.deadlineIn(w, c.params.TaskLease, now)
 		if !idle && !w.mustAcknowledge() {
@@ -61,9 +61,9 @@
 	return HoldPlan{Order: h, Send: true}
 }
 
-// needless reports whether no queue uses the worker's service and nothing of the
-// owner's or its predecessor's can run there. Another writer may list workers of
-// services that do not exist; the owner calls no address for them.
+// needsNoPolls reports whether no queue uses the worker's service and no run of this
+// owner or the previous one can be there. Another writer may list workers of services
+// that do not exist; the owner does not call their addresses.
 func (c *Core) needless(w *worker) bool {
 	_, waits := c.unresolved[w.info.ID]
 	return !c.services[w.info.Service] && !waits && !w.synced && len(w.attempts) == 0
@@ -88,7 +88,7 @@
 	return holdWait
 }
 
-// HoldDone takes in the answer to a poll and returns how long to wait before
+// PollDone processes the answer to a poll and returns how long to wait before
 // the next one.
 func (c *Core) HoldDone(order HoldOrder, reply HoldReply, outcome Outcome, now Instant) time.Duration {
 	w := c.workers[order.Worker]
@@ -99,7 +99,7 @@
 	case OutcomeOK:
 	case OutcomeFenced:
 		if order.Token < c.tokenOf(w) {
-			return 0 // sent before another life of its id was heard of
+			return 0 // sent before another incarnation of its id was known
 		}
 		c.depose(w)
 		return holdRetryMax
@@ -140,12 +140,12 @@
 	return 0
 }
 
-// acknowledges returns the number of the last end that the next poll lets the worker forget.
+// acknowledgement returns the number of the last end that the next poll lets the worker forget.
 //
-// The next life of a worker's id would take an acknowledgement for one of its own ends, and
-// nobody reads those again. So a worker that may restart under its id gets each only once, in a
-// poll that follows an answer too closely for a restart, and none while a start may have been
-// carried out by the next life. See Core.doubtEnds for what is left.
+// The next incarnation of a worker's id would apply an acknowledgement to one of its own ends,
+// which then nobody reads. So a worker that may restart under its id gets each only once, in a
+// poll that follows an answer too closely for a restart, and none while the next incarnation may
+// have carried out a start. See Core.doubtEnds for the remaining cases.
 func (w *worker) acknowledges(now Instant) uint64 {
 	switch {
 	case w.info.ID.Born() == 0:
@@ -160,15 +160,15 @@
 }
 
 // mustAcknowledge reports whether a worker that may restart under its id has ends to forget.
-// It is told so in a poll of its own, which is answered at once: one that waits is often under
-// way when the worker crashes.
+// They are acknowledged in a poll without a wait, which is answered at once: a poll that waits
+// is often in flight when the worker crashes.
 func (w *worker) mustAcknowledge() bool { return w.info.ID.Born() != 0 && w.told < w.seen }
 
-// sync takes in that the worker's lists were read under this term. While an answer
-// is full, the end of a task may not have had room in it: what it lacks is not known
-// until one is not, and what runs keeps its lease.
+// sync records that the worker's lists were read under this term. While an answer is full, the
+// end of a task may not have fitted in it: what it lacks is not known until an answer is not
+// full, and runs keep their leases.
 func (c *Core) sync(w *worker, order HoldOrder, reply HoldReply, now Instant) {
-	// What runs here may have any lease that the previous owner could give.
+	// Runs here may have any lease that the previous owner could give.
 	w.lastDeadline = max(w.lastDeadline, reply.ClockMS+c.params.MaxTaskLease.Milliseconds())
 	if w.fencedAt == 0 {
 		w.fencedAt = now.Steady
@@ -183,16 +183,16 @@
 
 // mayBeStarting reports whether a list of a worker of the previous owner, or of one that has
 // restarted under its id, may lack a run that was ordered before: the worker may check the
-// start's token before a poll tells it the new one, and carry the start out after it has
-// gathered its list. So its first list is asked for with a wait of startGap. A list that is
-// answered sooner, since there are ends, counts for what it tells, and the next one decides.
+// start's token before a poll brings the new one, and carry the start out after it has
+// gathered its list. So its first list is requested with a wait of startGap. A list that
+// arrives sooner, since there are ends, is used for what it reports, and the next one decides.
 func (c *Core) mayBeStarting(w *worker) bool {
 	_, waits := c.unresolved[w.info.ID]
 	return (waits || w.follows) && (w.fencedAt == 0 || w.holdSent < w.fencedAt+startGap)
 }
 
-// heldFor reports whether a worker gathered its lists so long after a poll had reached it:
-// it answers sooner only if it has ends to tell.
+// waitedFor reports whether a worker gathered its lists at least d after a poll had reached it:
+// it answers sooner only if it has ends to report.
 func heldFor(d time.Duration, order HoldOrder, reply HoldReply) bool {
 	return order.Wait >= d && len(reply.Ended) == 0
 }
--- a/dispatch/ports.go
+++ b/dispatch/ports.go
@@ -1,7 +1,7 @@
 // Package dispatch decides where the tasks of jobs run. Core is pure: it takes
 // events and clock readings and returns orders to workers and records to
-// persist; the caller does the I/O. Workers are the truth about what runs, the
-// store about what has ended.
+// persist; the caller does the I/O. Workers are authoritative for what runs, the
+// store for what has ended.
 package dispatch
 
 import (
@@ -10,13 +10,14 @@
 	"leverstile.dev/job"
 )
 
-// WorkerID names one life of a worker: its id, and when it was born if it tells; see LifeID.
+// WorkerID names one incarnation of a worker, which is one run of its process: the
+// worker's id and, if it reports one, its time of birth; see LifeID.
 type WorkerID string
 
 // WorkerInfo is what the platform lists of a worker.
 type WorkerInfo struct {
 	ID WorkerID
-	// VM is the machine that the worker is a life of.
+	// VM is the machine that the worker runs on.
 	VM         string
 	Address    string
 	Service    string
@@ -31,46 +32,46 @@
 	// least time that is left.
 	Draining bool
 	Leaving  time.Duration
-	// Cold is for how long it still works slowly after its start or after its
-	// data centre was evacuated.
+	// Cold is for how long it still works slowly after its start or after the
+	// evacuation of its data centre.
 	Cold time.Duration
 }
 
-// WorkerList is what the platform lists. An entry that can't be used names no
-// worker to use, and says nothing of what runs there.
+// WorkerList is what the platform lists. An entry that can't be used makes no worker
+// available, and does not show what runs there.
 type WorkerList struct {
 	Workers  []WorkerInfo
 	Unusable []UnusableEntry
 }
 
-// UnusableEntry is an entry that another writer left, or that is damaged.
+// UnusableEntry is an entry that another writer wrote, or that is damaged.
 type UnusableEntry struct {
 	ID     WorkerID
 	Reason string
 }
 
-// HoldOrder extends the lease on all that runs at a worker, acknowledges ends
-// and asks for the worker's lists.
+// PollRequest extends the lease on all runs at a worker, acknowledges ends and
+// asks for the worker's lists.
 type HoldOrder struct {
 	Worker  WorkerID
 	Address string
-	// Token is the fencing token: a worker that has seen a higher one does nothing.
+	// Token is the fencing token: a worker that has seen a higher one rejects the call.
 	Token uint64
-	// DeadlineMS is when the lease ends on the worker's clock; 0 leaves it.
+	// DeadlineMS is when the lease ends on the worker's clock; 0 leaves the lease unchanged.
 	DeadlineMS int64
-	// Seen is the number of the last end that may be forgotten.
+	// Seen is the number of the last end that the worker may forget.
 	Seen uint64
-	// Wait is how long the answer may be held until a task ends.
+	// Wait is how long the worker may delay the answer until a task ends.
 	Wait time.Duration
-	// ForLease is set if the wait is short for the sake of a lease.
+	// ForLease is set if Wait was shortened to renew a lease in time.
 	ForLease bool
 }
 
-// HoldReply is a worker's answer to a HoldOrder.
+// PollReply is a worker's answer to a PollRequest.
 type HoldReply struct {
 	ClockMS int64
-	// Born is when the life that answers began, in Unix milliseconds by its own clock; 0
-	// if it does not tell.
+	// Born is when the answering incarnation started, in Unix milliseconds by its own
+	// clock; 0 if the worker does not report it.
 	Born    int64
 	Running []RunningTask
 	Ended   []EndedTask
@@ -81,12 +82,12 @@
 	Task       job.TaskID
 	Run        uint64
 	Checkpoint string
-	// Percent is the part of its work that is done; for a lasting task that
-	// of its start, so that it is at work at 100.
+	// Percent is the part of its work that is done; for a long-running task the part of
+	// its startup, so that 100 means it is in operation.
 	Percent int
-	// Reading is over the last half second: the tail latency in
-	// milliseconds of a task that serves, else the processor time in use
-	// in thousandths of a core. HasReading is false without one.
+	// Reading covers the last half second: the tail latency in milliseconds
+	// of a task that serves, else the processor time in use in thousandths
+	// of a core. HasReading is false if there is none.
 	Reading    int64
 	HasReading bool
 }
@@ -102,7 +103,7 @@
 	EndLapsed  EndKind = "lapsed"
 	// EndBroken: another member of the gang ended.
 	EndBroken EndKind = "broken"
-	// EndAlone: the other members of the gang did not come in time.
+	// EndAlone: the other members of the gang did not start in time.
 	EndAlone EndKind = "alone"
 )
 
@@ -133,7 +134,7 @@
 	Kind    OrderKind
 	Worker  WorkerID
 	Address string
-	Token   uint64 // as in HoldOrder
+	Token   uint64 // as in PollRequest
 	Task    job.TaskID
 	Run     uint64
 	// Payload, DeadlineMS (worker's clock), Checkpoint and Ticket are for starts.
@@ -141,15 +142,15 @@
 	DeadlineMS int64
 	Checkpoint string
 	Ticket     string
-	// Percent is the share of its full speed for OrderPace.
+	// Percent is the CPU share for OrderPace, in percent of the full speed.
 	Percent int
 }
 
-// Outcome is what is known of a call to a worker.
+// Outcome is the known result of a call to a worker.
 type Outcome uint8
 
 // Outcomes. All but OutcomeOK, OutcomeUnknown and OutcomeBroken prove that the call
-// did nothing.
+// had no effect.
 const (
 	OutcomeOK Outcome = iota
 	// OutcomeUnknown: no answer. The call may still be carried out, until
@@ -157,24 +158,24 @@
 	OutcomeUnknown
 	// OutcomeFenced: the worker has seen a higher term.
 	OutcomeFenced
-	// OutcomeOld: a run at least as high ended or was stopped there.
+	// OutcomeOld: a run with the same or a higher number ended or was stopped there.
 	OutcomeOld
 	// OutcomeLate: the deadline had passed.
 	OutcomeLate
-	// OutcomeNoRoom: the task does not fit.
+	// OutcomeNoCapacity: the task does not fit.
 	OutcomeNoRoom
-	// OutcomeNoTicket: the ticket of the placement policy does not hold.
+	// OutcomeNoTicket: the ticket of the placement policy is not valid.
 	OutcomeNoTicket
-	// OutcomeUnwell: the worker refuses work for now.
+	// OutcomeUnwell: the worker temporarily refuses work.
 	OutcomeUnwell
-	// OutcomeOtherLife: the worker was restarted; the life asked for is over.
+	// OutcomeOtherIncarnation: the worker was restarted; the addressed incarnation has ended.
 	OutcomeOtherLife
-	// OutcomeInvalid: the worker takes the call for malformed.
+	// OutcomeInvalid: the worker rejects the call as malformed.
 	OutcomeInvalid
-	// OutcomeNotSent: the order was out of date before its turn came.
+	// OutcomeNotSent: the order was out of date before it was sent.
 	OutcomeNotSent
-	// OutcomeBroken is OutcomeUnknown of a connection that was refused or broken
-	// off: the process at its other end may have ended.
+	// OutcomeBroken is OutcomeUnknown for a connection that was refused or broken:
+	// the process at its other end may have ended.
 	OutcomeBroken
 )
 
@@ -183,11 +184,11 @@
 	return [...]string{"ok", "unknown", "fenced", "old", "late", "no_room", "no_ticket", "unwell", "other_life", "invalid", "not_sent", "broken"}[o]
 }
 
-// Answer is a worker's answer to an Order. ClockMS is 0 if it told none.
+// Answer is a worker's answer to an Order. ClockMS is 0 if the worker reported no clock.
 type Answer struct {
 	Outcome Outcome
 	ClockMS int64
 	// Unsent is set with OutcomeBroken if the connection was refused: this copy of the
-	// order did nothing.
+	// order had no effect.
 	Unsent bool
 }
--- a/dispatch/reach.go
+++ b/dispatch/reach.go
@@ -2,23 +2,22 @@
 
 import "time"
 
-// silent reports whether a worker's newest poll was not answered, while the
-// owner itself was on time and reached most others. Without that, an owner that
-// is late, or whose link is choked, starts tasks again whose ends it has not come
-// to read.
+// silent reports whether a worker's newest poll was not answered, while the owner
+// itself was on time and reached most others. Without these conditions, an owner that
+// is late, or whose link is congested, restarts tasks whose ends it has not read yet.
 func (c *Core) silent(w *worker, now Instant) bool {
 	return w.holdFails > 0 && w.failedSent > c.overload.doubtful && c.reachesOthers(w, now)
 }
 
-// reachedWithin is how old the newest answer of a worker may be that counts as
-// reached; polls are at most 2.1 s apart.
+// reachedWithin is the age of a worker's newest answer up to which the worker counts
+// as reached; polls are at most 2.1 s apart.
 const reachedWithin = 3 * time.Second
 
-// contact tells whether the owner reaches a worker.
+// contact is whether the owner reaches a worker.
 type contact uint8
 
 const (
-	// contactNone: it is not listed, or was not polled of late.
+	// contactNone: it is not listed, or was not polled recently.
 	contactNone contact = iota
 	contactReached
 	contactSilent
@@ -37,7 +36,7 @@
 	}
 }
 
-// reach counts workers by the owner's contact with them at one moment, so that a tick
+// reach counts workers by the owner's contact with them at one time, so that a tick
 // with many silent workers does not count all others for each of them.
 type reach struct {
 	known  bool
@@ -45,10 +44,10 @@
 	counts [contactSilent + 1]int
 }
 
-// changed forgets the counts: the contact with a worker has changed.
+// invalidate drops the counts, after the contact with a worker has changed.
 func (r *reach) changed() { r.known = false }
 
-// without takes a worker out of the counts.
+// exclude takes a worker out of the counts.
 func (r *reach) without(w *worker) { r.counts[w.contactAt(r.at)]-- }
 
 func (c *Core) reachAt(now Instant) *reach {
@@ -65,8 +64,8 @@
 }
 
 // reachesOthers reports whether at least half of the other listed workers that
-// the owner polls have answered of late. If more are silent, the fault is on the
-// owner's side, or so large that their entries will lapse.
+// the owner polls have answered recently. If more are silent, the fault is on the
+// owner's side, or so large that the list entries of those workers will expire.
 func (c *Core) reachesOthers(w *worker, now Instant) bool {
 	others := *c.reachAt(now)
 	others.without(w)
--- a/dispatch/recover.go
+++ b/dispatch/recover.go
@@ -9,20 +9,20 @@
 
 // unresolvedWorker is a worker of the previous owner that has not answered yet.
 type unresolvedWorker struct {
-	until time.Duration // when all leases there are over
+	until time.Duration // when all leases there have expired
 	// open is set if any task may run there, else only those in tasks.
 	open  bool
 	tasks map[string]bool
 }
 
-// Recover takes in the previous owner's roster, before any job. Until each of
-// these workers has answered under the new term, has ended, or RecoveryWait is
-// over, tasks that it may run are not started elsewhere.
+// Recover reads the previous owner's roster, before any job is added. A task that one
+// of these workers may run is not started elsewhere until the worker has answered
+// under the new term or has ended, or RecoveryWait has passed.
 func (c *Core) Recover(list []RosterEntry, now Instant) {
 	slices.SortFunc(list, func(a, b RosterEntry) int { return cmp.Compare(a.ID, b.ID) }) // workers are kept in this order
 	for _, e := range list {
-		if before, twice := c.unresolved[e.ID]; twice {
-			c.recoverTwice(before, e)
+		if first, duplicate := c.unresolved[e.ID]; duplicate {
+			c.recoverTwice(first, e)
 			continue
 		}
 		u := unresolvedWorker{until: now.Steady + c.params.RecoveryWait, open: !e.Closed, tasks: map[string]bool{}}
@@ -42,9 +42,9 @@
 	}
 }
 
-// recoverTwice takes in a second entry of a worker: it was dropped from one part of the
-// roster, taken up in another, and the first was not written since. What either says may
-// run there.
+// recoverDuplicate merges a second entry of a worker: the worker was dropped from one part of
+// the roster and added to another, and the first part was not written since. The tasks of both
+// entries may run there.
 func (c *Core) recoverTwice(u unresolvedWorker, e RosterEntry) {
 	for _, id := range e.Tasks {
 		u.tasks[id] = true
@@ -61,18 +61,18 @@
 	c.unresolved[e.ID] = u
 }
 
-// unknownWorker stands for workers that no roster names.
+// unknownWorker stands for the workers if the roster can't be read.
 const unknownWorker WorkerID = ""
 
-// RecoverUnknown is Recover for a roster that can't be read: until all leases of
-// the previous owner are over, any task may run anywhere.
+// RecoverUnknown replaces Recover if the roster can't be read: until all leases of
+// the previous owner have expired, any task may run anywhere.
 func (c *Core) RecoverUnknown(now Instant) {
 	c.unresolved[unknownWorker] = unresolvedWorker{until: now.Steady + c.params.RecoveryWait, open: true}
 	c.openUnresolved++
 	c.trace(Decision{Event: "recovery_begun", Reason: "the roster can't be read", Age: c.params.RecoveryWait})
 }
 
-// resolve takes a worker off the list of those that may run unknown tasks.
+// resolve removes a worker from those that may run unknown tasks.
 func (c *Core) resolve(id WorkerID, reason string, now Instant) {
 	u, ok := c.unresolved[id]
 	if !ok {
@@ -98,10 +98,10 @@
 	c.settleUnknown(now)
 }
 
-// settleUnknown releases the tasks that may have run anywhere, once no worker
-// is waited for where any task may run; those that may run at one of the others
-// wait on. Like every conclusion from silence or from the end of a life, it
-// needs a lease that holds for sure.
+// settleUnknown releases the tasks that may have run anywhere, once no worker is
+// unresolved where any task may run. Tasks that may run at one of the other unresolved
+// workers still wait. Like every conclusion from silence or from the end of an
+// incarnation, this requires a lease that is held for certain.
 func (c *Core) settleUnknown(now Instant) {
 	if c.unknown && c.openUnresolved == 0 && c.certain(now) {
 		c.unknown = false
@@ -128,10 +128,10 @@
 
 // mayHaveFailedBefore reports whether a failed task may have used its last
 // attempt: a worker of the previous owner that has not answered yet may list
-// failures of earlier runs. The previous owner knew of fewer than the limit when
-// it started the newest run, so only a failure read since can be the last one.
-// Without this wait a next owner that had read the second of two failures first
-// started a task a third time, 0.15 s after the failure.
+// failures of earlier runs. The previous owner knew of fewer failures than the limit
+// when it started the newest run, so only a failure read since can be the last one.
+// Without this wait, a next owner that read the second of two failures first started
+// the task a third time, 0.15 s after the failure.
 func (c *Core) mayHaveFailedBefore(t *task) bool {
 	s := t.step
 	if !s.spec.Gang {
@@ -140,20 +140,20 @@
 	return s.tasks[0].failedInTerm && slices.ContainsFunc(s.tasks, c.mayRun)
 }
 
-// expireUnresolved stops waiting for workers whose leases are over for sure, also
-// those that this owner gave while it read the worker's lists in parts.
+// expireUnresolved stops waiting for workers whose leases have expired for certain,
+// including those that this owner gave while it read the worker's lists in parts.
 func (c *Core) expireUnresolved(now Instant) {
 	for id, u := range c.unresolved {
 		w := c.workers[id]
-		over := w == nil || c.silent(w, now) && (!w.partlyRead || w.surelyPast(w.lastDeadline, now))
-		if over && now.Steady >= u.until && c.certain(now) {
+		expired := w == nil || c.silent(w, now) && (!w.partlyRead || w.surelyPast(w.lastDeadline, now))
+		if expired && now.Steady >= u.until && c.certain(now) {
 			c.resolve(id, "the previous owner's leases are over", now)
 		}
 	}
 	c.settleUnknown(now)
 }
 
-// releaseUnknown makes tasks ready that run at no worker.
+// releaseUnknown makes the tasks in phaseUnknown ready that run at no worker.
 func (c *Core) releaseUnknown(now Instant) {
 	ids := slices.Sorted(maps.Keys(c.jobs))
 	for _, id := range ids {
@@ -178,8 +178,8 @@
 	c.forgetUnheard()
 }
 
-// mendGang ends a gang's run that lost members with the previous owner, once it
-// is known of each.
+// repairGang ends a gang's run that lost members with the previous owner, once the
+// state of each member is known.
 func (c *Core) mendGang(s *stepRun, now Instant) {
 	if slices.ContainsFunc(s.tasks, func(t *task) bool { return t.phase == phaseUnknown }) {
 		return
@@ -198,11 +198,11 @@
 	return waits
 }
 
-// Recovering reports for how many workers the core still waits.
+// Recovering returns the number of workers that the core still waits for.
 func (c *Core) Recovering() int { return len(c.unresolved) }
 
 // recoverySlack is added to the wait for the previous owner's leases, for the
-// rate of clocks and the time that calls take.
+// difference of clock rates and the duration of calls.
 const recoverySlack = 400 * time.Millisecond
 
 // RecoveryWaitFor returns Params.RecoveryWait, for owners whose leases at the
--- a/dispatch/roster.go
+++ b/dispatch/roster.go
@@ -8,36 +8,36 @@
 
 // RosterEntry is a worker that the owner may have sent orders to.
 type RosterEntry struct {
-	// ID names the life. It is stored as the worker's id and Born, when the life was born.
+	// ID names the incarnation. It is stored as the worker's id and Born, its time of birth.
 	ID      WorkerID `json:"id"`
 	Born    int64    `json:"born,omitempty"`
 	Address string   `json:"address"`
 	VM      string   `json:"vm,omitempty"`
-	// Closed is set while the owner sends the worker no starts: beside Tasks,
-	// nothing of the owner's can be running there.
+	// Closed is set while the owner sends the worker no starts: apart from Tasks,
+	// no task of the owner can be running there.
 	Closed bool     `json:"closed,omitempty"`
 	Tasks  []string `json:"tasks,omitempty"`
-	// Young are the runs of which one may have crashed the worker, if it has.
+	// RecentRuns are the runs of which one may have crashed the worker, if it has crashed.
 	Young []LostRun `json:"young,omitempty"`
 	// part is the number of the part that holds the entry.
 	part int
 }
 
-// rosterPartSize is the most entries in a part of the roster, some 100 bytes each: a change
-// of one worker writes its part, whatever the number of workers.
+// rosterPartSize is the maximum number of entries in a part of the roster, of some 100 bytes
+// each: a change of one worker writes its part, whatever the number of workers.
 const rosterPartSize = 50
 
 // RosterPart is a part of the roster as it is stored, by its number.
 type RosterPart struct {
 	Number int
 	Value  []byte
-	// open are the workers whose entries in it are open.
+	// open are the workers with open entries in the part.
 	open []WorkerID
 }
 
-// roster is the list of workers that may have orders of this owner, for the next
-// one, in parts that are stored one by one. An entry is stored before the worker's first
-// order, and stays in its part.
+// roster is the list of workers that may have orders of this owner. It is stored for
+// the next owner, in parts that are written one by one. An entry is stored before the
+// worker's first order, and stays in its part.
 //
 // Invariant: worker.recorded is set only while the store's newest entry of the
 // worker is open. It is cleared before an entry is closed, and set again only
@@ -45,13 +45,13 @@
 type roster struct {
 	entries map[WorkerID]RosterEntry
 	parts   []rosterPart
-	// room is the number of the first part that may have room; stale holds the numbers
-	// of the parts whose copies in the store lack something or hold what is over.
+	// firstWithCapacity is the number of the first part that may take another entry. stale
+	// holds the numbers of the parts whose stored copies are out of date.
 	room  int
 	stale map[int]bool
 }
 
-// rosterPart is the entries of one part; written tells whether a write holds the newest
+// rosterPart is the entries of one part; written is set once a write holds the newest
 // ones.
 type rosterPart struct {
 	ids     map[WorkerID]bool
@@ -66,34 +66,34 @@
 	}
 }
 
-// put keeps an entry in the part that it names, to be stored.
+// put sets an entry in the part that it names, and marks the part as stale.
 func (r *roster) put(e RosterEntry) {
 	r.keep(e)
 	r.changed(e.part)
 }
 
-// keep keeps an entry in the part that it names.
+// set sets an entry in the part that it names.
 func (r *roster) keep(e RosterEntry) {
 	r.grow(e.part)
 	r.parts[e.part].ids[e.ID] = true
 	r.entries[e.ID] = e
 }
 
-// changed notes that a part must be stored.
+// markStale records that a part must be stored.
 func (r *roster) changed(part int) {
 	r.grow(part)
 	r.parts[part].written = false
 	r.stale[part] = true
 }
 
-// grow adds empty parts, up to that of a number.
+// grow adds empty parts, up to the given number.
 func (r *roster) grow(part int) {
 	for len(r.parts) <= part {
 		r.parts = append(r.parts, rosterPart{ids: map[WorkerID]bool{}})
 	}
 }
 
-// partWithRoom returns the number of a part that takes another entry.
+// partWithCapacity returns the number of a part that can take another entry.
 func (r *roster) partWithRoom() int {
 	for r.room < len(r.parts) && len(r.parts[r.room].ids) >= rosterPartSize {
 		r.room++
@@ -101,8 +101,8 @@
 	return r.room
 }
 
-// drop forgets a worker. An entry too many in the store would cost the next
-// owner a wait for a worker that never answers.
+// drop removes a worker. A stored entry that is not needed would make the next
+// owner wait for a worker that never answers.
 func (r *roster) drop(id WorkerID) {
 	e, ok := r.entries[id]
 	if !ok {
@@ -114,33 +114,33 @@
 	r.changed(e.part)
 }
 
-// updateClosed closes the entries of workers that get no starts, and opens them
-// again. Without it, a takeover waits with all tasks for a worker that has long
-// left, since any of them may have been started there: ten seconds in 2 of 27
+// updateClosed closes the entries of workers that get no starts, and reopens them
+// afterwards. Without it, after a takeover all tasks wait for a worker that left long
+// ago, since any of them may have been started there: ten seconds in 2 of 27
 // takeovers of a day with rolling restarts.
 func (c *Core) updateClosed() {
 	for _, w := range c.order {
 		e, ok := c.roster.entries[w.info.ID]
 		if _, waits := c.unresolved[w.info.ID]; !ok || waits {
-			continue // what the previous owner left there is not known yet
+			continue // what the previous owner started there is not known yet
 		}
-		if shut := c.getsNoStarts(w); shut != e.Closed {
+		if closed := c.getsNoStarts(w); closed != e.Closed {
 			w.recorded = false // until an open entry is stored
-			e.Closed, e.Tasks = shut, nil
+			e.Closed, e.Tasks = closed, nil
 			c.roster.put(e)
 		}
 	}
 }
 
-// getsNoStarts reports whether a worker gets no starts for longer than a write
-// of the roster takes.
+// getsNoStarts reports whether a worker gets no starts for longer than it takes to
+// write the roster.
 func (c *Core) getsNoStarts(w *worker) bool {
 	silent := w.unreached() && w.unanswered >= suspectAfter
 	return w.info.Draining || !w.listed || silent || w.overReason != ""
 }
 
 // tasksAt returns the tasks that may be running at a worker, or whose end the
-// worker lists and the store lacks.
+// worker lists but the store lacks.
 func (w *worker) tasksAt() []string {
 	var list []string
 	for _, a := range w.attempts {
@@ -160,7 +160,7 @@
 // written.
 func (c *Core) RosterStale() bool { return len(c.roster.stale) > 0 || c.unheardStale }
 
-// Roster returns parts of the roster that must be written, at most so many.
+// Roster returns up to most of the parts of the roster that must be written.
 func (c *Core) Roster(most int) ([]RosterPart, error) {
 	numbers := slices.Sorted(maps.Keys(c.roster.stale))
 	var parts []RosterPart
@@ -197,7 +197,7 @@
 	return part, err
 }
 
-// RosterStored tells that the store holds these parts of the roster.
+// RosterStored records that the store holds these parts of the roster.
 func (c *Core) RosterStored(parts []RosterPart) {
 	for _, part := range parts {
 		for _, id := range part.open {
--- a/dispatch/silence.go
+++ b/dispatch/silence.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// tickWorker gives up on a worker that is silent for longer than its leases.
+// tickWorker repeats stops at a worker, and gives up a worker that is silent for
+// longer than its leases last.
 func (c *Core) tickWorker(w *worker, now Instant) {
 	if w.overReason != "" {
 		c.lifeOver(w, w.overReason, now)
@@ -16,7 +17,7 @@
 		c.tickAttempt(a, now)
 	}
 	// An owner that may have been replaced must not conclude anything from
-	// time alone: the next one may know how these runs ended.
+	// elapsed time alone: the next one may know how these runs ended.
 	if len(w.attempts) > 0 && c.certain(now) && c.silent(w, now) {
 		c.concludeSilence(w, now)
 	}
@@ -27,57 +28,57 @@
 	}
 }
 
-// concludeSilence releases the attempts at a silent worker whose leases are over.
+// releaseSilent releases the attempts at a silent worker whose leases have expired.
 func (c *Core) concludeSilence(w *worker, now Instant) {
-	known := w.clock > 0 && w.surelyPast(w.lastDeadline, now)
-	next := c.nextLifeLapsed(w, now)
-	over := slices.DeleteFunc(slices.Clone(w.attempts), func(a *attempt) bool {
+	thisExpired := w.clock > 0 && w.surelyPast(w.lastDeadline, now)
+	nextExpired := c.nextLifeLapsed(w, now)
+	expired := slices.DeleteFunc(slices.Clone(w.attempts), func(a *attempt) bool {
 		if a.mayBeOfNextLife() {
-			return !next || !known && w.clock > 0
+			return !nextExpired || !thisExpired && w.clock > 0
 		}
-		return !known
+		return !thisExpired
 	})
-	if len(over) == 0 {
+	if len(expired) == 0 {
 		return
 	}
 	l := c.lifeOf(w, now)
-	c.loseAll(w, over, "its leases are over", now)
+	c.loseAll(w, expired, "its leases are over", now)
 	if c.lostLives[w.info.VM].id != w.info.ID { // else it holds these runs already
 		c.keepUnsettled(w.info.VM, l)
 	}
 }
 
-// mayBeOfNextLife reports whether a run may have been begun by a life of its worker's id that
-// the owner has not heard of.
+// mayBeOfNextIncarnation reports whether a run may have been started by an incarnation of its
+// worker's id that the owner does not know of.
 func (a *attempt) mayBeOfNextLife() bool { return a.worker.info.ID.Born() != 0 && !a.listed }
 
-// nextLifeLapsed reports whether all leases are over that the next life of a worker's id can
-// have taken from calls meant for this one: their deadlines are far ahead on its clock, so that
-// they last for as long as a worker accepts.
+// nextIncarnationExpired reports whether all leases have expired that the next incarnation of a
+// worker's id can have taken from calls meant for this one. Their deadlines are far ahead on its
+// clock, so that they last for as long as a worker accepts.
 func (c *Core) nextLifeLapsed(w *worker, now Instant) bool {
 	longest := time.Duration(float64(c.params.MaxTaskLease)/clockRate) + clockMargin
 	return now.Steady > w.leaseSent+lateCall+longest
 }
 
-// lose releases all attempts at a worker: none of them can be running.
+// releaseAllLost releases all attempts at a worker: none of them can be running.
 func (c *Core) lose(w *worker, reason string, now Instant) {
 	c.loseAll(w, slices.Clone(w.attempts), reason, now)
 }
 
-// loseAll is lose for some of a worker's attempts.
-func (c *Core) loseAll(w *worker, over []*attempt, reason string, now Instant) {
-	for _, a := range over {
+// releaseLost releases attempts at a worker that can't be running.
+func (c *Core) loseAll(w *worker, lost []*attempt, reason string, now Instant) {
+	for _, a := range lost {
 		c.stats.Lost++
 		c.tellGivenUp("run_lost", a, reason, fmt.Sprintf("lease to %d of worker's clock %d", w.lastDeadline, w.clockNow(now)), now.Steady-w.lastAnswer)
 		a.task.concluded, a.lost = true, !a.unsent
 		c.release(a, now)
 	}
-	w.synced, w.partlyRead = false, false // what it lists next must be read before it is used
+	w.synced, w.partlyRead = false, false // the worker must not be used before its next lists are read
 }
 
-// lifeOver handles the proof that a life of a worker has ended. An owner that
-// may have been replaced puts off the conclusion: the next one may have read how
-// the runs there ended before that life was over.
+// endIncarnation handles the proof that an incarnation of a worker has ended. An owner
+// that may have been replaced defers the conclusion: the next one may have read how
+// the runs there ended before that incarnation did.
 func (c *Core) lifeOver(w *worker, reason string, now Instant) {
 	if !c.certain(now) {
 		w.overReason = reason
@@ -106,12 +107,12 @@
 	c.over[w.info.ID] = true
 }
 
-// lostWith returns what is remembered of a life that is over, if it had runs.
+// lostWith returns what is remembered of an ended incarnation, if it had runs.
 func (c *Core) lostWith(w, next *worker, now Instant) (l lostLife, hadRuns bool) {
 	lost, unsettled := c.lostLives[w.info.VM]
 	switch {
 	case next != nil && w.info.ID.Born() == 0:
-		return lostLife{}, false // it may be the life that answers now, of which more is known
+		return lostLife{}, false // it may be the incarnation that answers now, of which more is known
 	case len(w.attempts) > 0 && w.heardAt > 0:
 		l = c.lifeOf(w, now)
 		c.tellEnded(w, l.end, w.youngRuns(), now)
@@ -123,10 +124,10 @@
 	}
 }
 
-// endOtherLives concludes that lives of a worker's VM or id that were known before its
-// newest poll was sent, and did not answer since, are over: a VM runs one life
-// at a time, and lives do not come back. A life that was heard of later may have
-// followed this one while its answer was on the way.
+// endOtherIncarnations concludes that incarnations of a worker's VM or id have ended that were
+// known before its newest poll was sent and have not answered since: a VM runs one incarnation
+// at a time, and an ended one does not return. An incarnation that became known later may have
+// followed this one while its answer was in flight.
 func (c *Core) endOtherLives(w *worker, now Instant) {
 	if len(c.lives[w.info.VM]) < 2 && len(c.names[w.info.ID.Name()].lives) < 2 {
 		return
@@ -145,7 +146,7 @@
 	c.reach.without(w)
 	c.leaveName(w)
 	c.leave(w)
-	w.listed = false // for what still refers to it
+	w.listed = false // for what still refers to the worker
 	c.lives[w.info.VM] = slices.DeleteFunc(c.lives[w.info.VM], func(o *worker) bool { return o == w })
 	if len(c.lives[w.info.VM]) == 0 {
 		delete(c.lives, w.info.VM)
