--- a/dispatch/clock_test.go
+++ b/dispatch/clock_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A jump of the time of day by an hour removed the states of jobs that had just ended: their
-// customers heard that there was no such job.
+// A jump of the time of day by an hour must not remove the states of jobs that just ended, whose
+// customers would be told that there is no such job.
 func TestClockJumpsKeepStates(t *testing.T) {
 	for _, jump := range []time.Duration{time.Hour, -time.Hour, 3 * time.Second} {
 		now := Instant{Steady: time.Minute, UnixMS: 1_700_000_000_000}
@@ -34,7 +34,7 @@
 	}
 }
 
-// Jobs of an entry whose clock is off keep their place: neither hopeless nor the most pressing.
+// Jobs from an entry whose clock is off must keep their order: neither hopeless nor the most urgent.
 func TestSkewOfAnEntryKeepsTheOrder(t *testing.T) {
 	now := Instant{Steady: time.Hour, UnixMS: 1_700_000_000_000}
 	core := sureCore(Params{}, 1, now)
@@ -54,6 +54,6 @@
 	}
 	behind := add(3, -time.Hour, now)
 	if r := core.rankOf(behind, q, now); r.class == rankHopeless {
-		t.Errorf("a new job of an entry that is an hour late is hopeless: %+v", r)
+		t.Errorf("a new job from an entry whose clock is an hour behind is hopeless: %+v", r)
 	}
 }
--- a/dispatch/contract_test.go
+++ b/dispatch/contract_test.go
@@ -8,7 +8,7 @@
 	"leverstile.dev/job"
 )
 
-// idleCore is a core with idle workers of 4 cores, for tests of single decisions.
+// idleCore returns a core with idle workers of 4 cores each, for tests of single decisions.
 func idleCore(t *testing.T, workers int) (*Core, Instant) {
 	t.Helper()
 	core := New(Params{MaxTaskLease: 6 * time.Second, OwnerTTL: time.Hour, OwnerHorizon: time.Hour, JobKept: time.Hour, RemoteFactor: 2}, 1, nil)
@@ -61,7 +61,7 @@
 			t.Errorf("start %+v", o)
 		}
 	}
-	// One member has no room after all: the others stop, and all start anew.
+	// One member is refused for lack of capacity: the others stop, and all start again.
 	core.OrderDone(list[0], Answer{Outcome: OutcomeNoRoom, ClockMS: 1001}, now)
 	stops := map[int]bool{}
 	for _, o := range core.TakeOrders() {
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -212,7 +212,9 @@
 )
 
 // runBits is the number of bits of a run number below the term. 2^28 starts in one
-// term last two days at 1550 starts a second, the highest rate expected; terms then fit the remaining 24 bits of the 2^53 that JSON numbers carry exactly.
+// term last two days at 1550 starts a second, the highest rate
+// expected; terms then fit the remaining 24 bits of the 2^53 that JSON numbers carry
+// exactly.
 const runBits = 28
 
 // New returns a core for one term. It calls trace for each decision.
--- a/dispatch/core_test.go
+++ b/dispatch/core_test.go
@@ -20,7 +20,7 @@
 	return spec
 }
 
-// checkAll fails the test unless every job has ended well.
+// checkAll fails the test if an invariant was violated, or a job has not ended as expected.
 func checkAll(t *testing.T, s *sim) {
 	t.Helper()
 	for _, b := range s.oracle.broken {
@@ -61,8 +61,8 @@
 	checkAll(t, s)
 }
 
-// A tick right after a takeover found runs at a worker whose leases the new owner had not
-// given yet, took them for over and started the tasks again.
+// A tick right after a takeover must not treat adopted runs, whose leases the new owner has
+// not given yet, as expired and start the tasks again.
 func TestTickBetweenAdoptionAndFirstLease(t *testing.T) {
 	core := New(Params{MaxTaskLease: 6 * time.Second, OwnerTTL: time.Minute, OwnerHorizon: time.Minute}, 2, nil)
 	now := Instant{Steady: time.Second}
@@ -84,14 +84,14 @@
 	}
 }
 
-// lastingJob is a job of tasks that run until it is cancelled.
+// lastingJob is a job of tasks that run until the job is cancelled.
 func lastingJob(id, tasks int) *job.Spec {
 	spec := simpleJob(id, tasks)
 	spec.Steps[0].Lasting = true
 	return spec
 }
 
-// runningTasks counts the tasks that the workers of the sim run.
+// runningTasks counts the tasks that run at the workers of the sim.
 func (s *sim) runningTasks() int {
 	n := 0
 	for _, w := range s.workers {
@@ -100,8 +100,8 @@
 	return n
 }
 
-// A worker that was gone was asked again and again with a new deadline, which it might have
-// taken; so its leases never ended, and its lasting tasks never started again.
+// Polls of a lost worker that carry new deadlines, which it might have accepted, would keep its
+// leases from ever expiring, so that its long-running tasks never start again.
 func TestTasksOfALostWorkerStartAgain(t *testing.T) {
 	s := newSim(3, 3)
 	s.run(time.Second)
@@ -113,7 +113,7 @@
 	w.running = map[job.TaskID]*simRun{}
 	s.run(s.params.TaskLease + 2*time.Second)
 	if n := s.runningTasks(); n != 6 {
-		t.Errorf("%d of 6 lasting tasks run after their worker is gone", n)
+		t.Errorf("%d of 6 long-running tasks run after their worker is lost", n)
 	}
 	for _, b := range s.oracle.broken {
 		t.Error(b)
@@ -129,12 +129,12 @@
 	w.info.Draining, w.info.Leaving = true, 4*time.Second
 	s.run(3 * time.Second)
 	if len(w.running) != 0 || s.runningTasks() != 6 {
-		t.Errorf("%d of %d tasks still run on a worker that leaves", len(w.running), s.runningTasks())
+		t.Errorf("%d of %d tasks still run on a draining worker", len(w.running), s.runningTasks())
 	}
 }
 
-// After a takeover, workers list failed runs of one task in any order; a run with a lower
-// number than one already counted was not counted.
+// After a takeover, workers list failed runs of one task in any order: a run with a lower
+// number than one already counted must be counted too.
 func TestFailuresCountInAnyOrder(t *testing.T) {
 	core := New(Params{MaxTaskLease: 6 * time.Second, OwnerTTL: time.Minute, OwnerHorizon: time.Minute}, 2, nil)
 	now := Instant{Steady: time.Second}
@@ -157,9 +157,9 @@
 	}
 }
 
-// The entry of a life that has crashed stays for some heartbeats beside that of the next
-// life at its address, and a late write may even make it anew. Neither may end the life that
-// runs. Only the worker tells which life is over.
+// The list entry of a crashed incarnation stays for some heartbeats beside that of the next
+// incarnation at its address, and a late write may recreate it. Neither may end the incarnation
+// that runs: only the worker proves which incarnation has ended.
 func TestListedLivesAtOneAddress(t *testing.T) {
 	core := New(Params{MaxTaskLease: 6 * time.Second, OwnerTTL: time.Minute, OwnerHorizon: time.Minute}, 1, nil)
 	core.SetConfig(&job.Config{Version: 1, Queues: []job.Queue{{Name: "q", Service: "svc"}}})
@@ -176,7 +176,7 @@
 		core.SetWorkers(list, now)
 		storeOpen(core, "old", "new")
 		if i >= 1 {
-			// The address answers for the next life only.
+			// The address answers for the next incarnation only.
 			core.HoldDone(HoldOrder{Worker: "old"}, HoldReply{}, OutcomeOtherLife, now)
 			core.HoldDone(HoldOrder{Worker: "new"}, HoldReply{ClockMS: int64(1000 * i), Running: rows}, OutcomeOK, now)
 		}
@@ -192,15 +192,15 @@
 			rows = append(rows, RunningTask{Task: o.Task, Run: o.Run, Percent: fullPace})
 		}
 		if w := core.workers["new"]; i >= 1 && (w == nil || len(w.attempts) != 2) {
-			t.Fatalf("list %d: the life that runs is over", i)
+			t.Fatalf("list %d: the running incarnation was ended", i)
 		}
 	}
 	if ids := core.Workers(); len(ids) != 1 || ids[0] != "new" {
-		t.Errorf("workers %v, want the later life only", ids)
+		t.Errorf("workers %v, want the later incarnation only", ids)
 	}
 }
 
-// What an owner has learnt of a pair of images is known to the next one.
+// The interference and short-task demand that an owner has learned pass to the next owner.
 func TestLearntStateIsHandedOn(t *testing.T) {
 	first := New(Params{}, 1, nil)
 	for i := range 400 {
@@ -218,7 +218,7 @@
 		t.Fatal(err)
 	}
 	if k := next.keptOf("svc"); k.peak != 70_000 || k.priority != 2 || k.piece.mean != 5000 {
-		t.Errorf("of the short tasks' need the next owner knows %+v", k)
+		t.Errorf("the next owner reads %+v as the demand of short tasks", k)
 	}
 	mean, deviation := next.model.coefficient("web", "noisy")
 	if mean < 4 || mean > 6 || deviation > 0.6 {
@@ -232,8 +232,8 @@
 	}
 }
 
-// With more changed jobs than a write takes, those with high ids never had their turn, and
-// the ends of their tasks were never acknowledged.
+// With more changed jobs than one write takes, jobs with high ids must still be written, or
+// the ends of their tasks are never acknowledged.
 func TestRecordsGoInTurn(t *testing.T) {
 	const jobs, limit = 12, 3
 	core := New(Params{OwnerTTL: time.Minute, OwnerHorizon: time.Minute}, 1, nil)
@@ -263,8 +263,8 @@
 	}
 }
 
-// A more urgent task that only lacks memory takes the place of fills, which go
-// on elsewhere with their checkpoints.
+// A more urgent task that lacks only memory preempts fill tasks, which continue
+// elsewhere from their checkpoints.
 func TestUrgentTasksTakeMemoryOfFills(t *testing.T) {
 	core := New(Params{MaxTaskLease: 6 * time.Second, OwnerTTL: time.Minute, OwnerHorizon: time.Minute, JobKept: time.Hour}, 1, nil)
 	now := Instant{Steady: time.Second}
@@ -294,8 +294,8 @@
 	}
 }
 
-// Rough readings of a task that is over its target dip below it; the fills beside it must be
-// halted all the same before the time allowed is over.
+// Noisy readings of a task that is over its target dip below it; the fill tasks beside it must
+// still be halted before the allowed time is over.
 func TestReadingsThatDipDoNotEndTheWatch(t *testing.T) {
 	const allowed = 4 * time.Second
 	core := New(Params{MaxTaskLease: 6 * time.Second, OwnerTTL: time.Hour, OwnerHorizon: time.Hour, OverTarget: allowed}, 1, nil)
@@ -334,5 +334,5 @@
 			}
 		}
 	}
-	t.Errorf("the fill works on after %v", now.Steady-began)
+	t.Errorf("the fill task still runs after %v", now.Steady-began)
 }
--- a/dispatch/fulllist_test.go
+++ b/dispatch/fulllist_test.go
@@ -7,7 +7,7 @@
 	"leverstile.dev/job"
 )
 
-// fullEnds are as many ends as an answer holds, of a job that is not known.
+// fullEnds returns as many ends as an answer can carry, of a job that is not known.
 func fullEnds() []EndedTask {
 	ends := make([]EndedTask, maxEndsListed)
 	for i := range ends {
@@ -16,13 +16,11 @@
 	return ends
 }
 
-// TestFullAnswerAtTakeoverProvesNothing: a new owner starts no task again whose end
-// may have had no room in the worker's first answer.
+// A new owner must not restart a task whose end may not have fitted in the worker's first answer.
 //
-// Users would see a task start after a run of it that had ended done, and whose end
-// is acknowledged afterwards: the store was away for some seconds, so that no end
-// was acknowledged, and short tasks left more than 500 at one worker. The next owner
-// reads the first 500 and an empty list of what runs.
+// While the store is unavailable for some seconds, no end is acknowledged, and short tasks leave
+// more than 500 ends at one worker. The next owner reads the first 500 and an empty list of runs;
+// it would start a task again whose done end is acknowledged afterwards.
 func TestFullAnswerAtTakeoverProvesNothing(t *testing.T) {
 	now := Instant{Steady: time.Second}
 	core := livesCore(now, RosterEntry{ID: "w1", Address: "w1", VM: "m1"})
@@ -47,18 +45,18 @@
 	}
 }
 
-// TestAnswerOfTheLeasesBeforeIsNoNewList: an answer whose lists are not taken in, since
-// the worker's clock was heard to be later, does not count as having read them.
+// An answer whose lists are not processed, since a later reading of the worker's clock is known,
+// does not count as having read them.
 func TestAnswerOfTheLeasesBeforeIsNoNewList(t *testing.T) {
 	core, now := idleCore(t, 1)
 	w := core.workers["w0"]
 	core.lose(w, "its leases are over", now)
 	core.HoldDone(core.PlanHold("w0", now).Order, HoldReply{ClockMS: w.clock - 1}, OutcomeOK, now)
 	if w.synced {
-		t.Error("lists that were not read count as read")
+		t.Error("lists that were not processed count as read")
 	}
 	core.HoldDone(core.PlanHold("w0", now).Order, HoldReply{ClockMS: w.clock + 1}, OutcomeOK, now)
 	if !w.synced {
-		t.Error("lists that were read don't count")
+		t.Error("lists that were processed don't count as read")
 	}
 }
--- a/dispatch/helper_test.go
+++ b/dispatch/helper_test.go
@@ -7,7 +7,7 @@
 )
 
 // sureCore returns a core whose lease holds for an hour, with one queue "q" of
-// service "svc". The lease and the configuration of params are overwritten.
+// service "svc". It overwrites the lease times of params.
 func sureCore(params Params, term uint64, now Instant) *Core {
 	params.MaxTaskLease, params.OwnerTTL, params.OwnerHorizon = 6*time.Second, time.Hour, 2*time.Hour
 	core := New(params, term, nil)
--- a/dispatch/idle_test.go
+++ b/dispatch/idle_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// idleRun plays an owner that is cut off the store while some workers can't be reached by
-// the next one. Its last starts, just before its right to give orders ends, go to workers
-// that had nothing to do for a time, and whose clocks it has not read since.
+// idleRun simulates an owner that is cut off from the store while the next one can't reach some
+// workers. Its last starts, just before its right to give orders ends, go to workers that were
+// idle for a time, and whose clocks it has not read since.
 func idleRun(seed uint64, idle time.Duration) *sim {
 	s := newSim(seed, 6)
 	for _, w := range s.workers {
@@ -25,16 +25,15 @@
 	for _, w := range s.workers[:2] {
 		w.cutAbove = o.core.Term()
 	}
-	for id := 3; id < 28; id++ { // the next owner is in touch with the others
+	for id := 3; id < 28; id++ { // the next owner reaches the others
 		s.submit(simpleJob(id, 4))
 		s.run(time.Second)
 	}
 	return s
 }
 
-// TestLeasesEndInTimeAtIdleWorkers: the leases that an owner gives last no longer than the
-// next one takes them to last, also at workers whose clocks run slowly and were not read for
-// long.
+// The leases that an owner gives must not outlast what the next one assumes, also at workers
+// whose clocks run slowly and were not read for a long time.
 func TestLeasesEndInTimeAtIdleWorkers(t *testing.T) {
 	for _, idle := range []time.Duration{0, time.Minute, 10 * time.Minute} {
 		for seed := range uint64(3) {
--- a/dispatch/latestart_test.go
+++ b/dispatch/latestart_test.go
@@ -27,12 +27,10 @@
 	return core, spec
 }
 
-// TestStartCheckedBeforeTheTakeoverRunsOnce: a run of the previous owner that begins after
-// the worker has heard of the new term is adopted, and is not started elsewhere.
-//
-// Users would see two runs of one task at once: the worker checked the term of the previous
-// owner's start, told the new owner in its first list that nothing runs, and only then
-// carried out the start.
+// A run of the previous owner that starts after the worker has received the new term must be
+// adopted, and not started elsewhere. It comes about if the worker checks the term of the previous
+// owner's start, reports to the new owner in its first list that nothing runs, and only then
+// carries out the start; two runs of one task would run at once.
 func TestStartCheckedBeforeTheTakeoverRunsOnce(t *testing.T) {
 	for name, ends := range map[string][]EndedTask{
 		"the poll is held":           nil,
@@ -68,18 +66,18 @@
 				t.Error("the run is not adopted")
 			}
 			if n := core.Recovering(); n != 0 {
-				t.Errorf("waits for %d workers", n)
+				t.Errorf("%d workers unresolved", n)
 			}
 		})
 	}
 }
 
-// startGapSeeds is how many seeds of startsAfterGaps are played: of 400, 24 broke something
-// while one list of each worker was enough at a takeover, the first at seed 25.
+// startGapSeeds is the number of seeds of startsAfterGaps that are run: of 400, 24 violated an
+// invariant while one list of each worker sufficed at a takeover, the first at seed 25.
 const startGapSeeds = 60
 
-// TestStartsAfterGaps plays workers that carry out starts a moment after the check of their
-// terms, beside the other faults.
+// TestStartsAfterGaps simulates workers that carry out starts some time after the check of the
+// starts' terms, beside the other faults.
 func TestStartsAfterGaps(t *testing.T) {
 	if testing.Short() {
 		t.Skip("it is played without -short")
--- a/dispatch/longidle_test.go
+++ b/dispatch/longidle_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// longIdleCore returns a core that renewed its lease all the time, with one worker that
-// had nothing to do for an idle time and answered all polls.
+// longIdleCore returns a core that renewed its lease all the time, with one worker that was
+// idle for the given time and answered all polls.
 func longIdleCore(t *testing.T, idle time.Duration) (*Core, Instant) {
 	t.Helper()
 	now := Instant{Steady: time.Second}
@@ -27,11 +27,9 @@
 	return core, now
 }
 
-// TestStartAfterLongIdlenessHasADeadline: the first start to a worker whose clock was not
-// read for 11 minutes carries a deadline that lies ahead.
-//
-// Users would see the first tasks after a quiet time refused at each worker: as late, or as
-// not a start at all, since a deadline of 0 is left out of the call.
+// The first start at a worker whose clock was not read for 11 minutes must carry a deadline in the
+// future. Otherwise each worker refuses the first tasks after an idle period: as late, or as
+// malformed, since a deadline of 0 is left out of the call.
 func TestStartAfterLongIdlenessHasADeadline(t *testing.T) {
 	for _, idle := range []time.Duration{time.Minute, 9 * time.Minute, 11 * time.Minute, time.Hour} {
 		core, now := longIdleCore(t, idle)
@@ -49,8 +47,8 @@
 	}
 }
 
-// TestStartsAfterLongIdlenessGoOn: if the worker answers a start without a deadline by a
-// refusal that tells no clock, its clock is read before it is given another one.
+// If a worker refuses a start without a deadline in an answer that reports no clock, its clock
+// must be read before the next start.
 func TestStartsAfterLongIdlenessGoOn(t *testing.T) {
 	core, now := longIdleCore(t, 11*time.Minute)
 	core.AddJob(simpleJob(1, 1), nil, false, now)
--- a/dispatch/members.go
+++ b/dispatch/members.go
@@ -9,7 +9,7 @@
 
 // SetWorkers applies the platform's list of workers. The list proves nothing
 // about incarnations: entries of ended ones expire late, and a write of an ended
-// one may be carried out after those of the next. Only a worker itself proves it.
+// one may be carried out after those of the next. Only a worker's own answer does.
 func (c *Core) SetWorkers(list []WorkerInfo, now Instant) {
 	c.listedAt = now.Steady
 	c.reach.changed()
--- a/dispatch/missing_test.go
+++ b/dispatch/missing_test.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// lacking has a worker answer a poll, sent now, with a list in which nothing runs.
+// lacking answers a poll, sent now, with a list without running tasks.
 func lacking(core *Core, now *Instant, clock int64, ended ...EndedTask) {
 	order := core.PlanHold("w0", *now).Order
 	now.Steady += 10 * time.Millisecond
 	core.HoldDone(order, HoldReply{ClockMS: clock, Ended: ended}, OutcomeOK, *now)
 }
 
-// TestListsThatLackARun: what a list must be like to prove that a run that was started is over
-// although its end was not told.
+// These are the conditions under which lists prove that a started run has ended although its end
+// was not reported. A looser rule starts a task again while it runs.
 func TestListsThatLackARun(t *testing.T) {
 	for name, c := range map[string]struct {
 		confirmed bool
@@ -63,7 +63,7 @@
 			core.OrderDone(list[0], answer, now)
 			c.lists(core, &now, list[0].DeadlineMS)
 			if over := core.findTask(list[0].Task).attempt == nil; over != c.over {
-				t.Errorf("the run counts as over: %v, want %v", over, c.over)
+				t.Errorf("the run counts as ended: %v, want %v", over, c.over)
 			}
 		})
 	}
--- a/dispatch/olderlist_test.go
+++ b/dispatch/olderlist_test.go
@@ -5,14 +5,13 @@
 	"time"
 )
 
-// TestListOfAPollBeforeTheStartProvesNothing: a list that lacks a run ends it only
-// if its poll was sent after the run was known to be there.
+// A list that lacks a run ends the run only if its poll was sent after the run was known to be
+// there.
 //
-// A worker that answers polls and orders on several threads may gather its list a
-// moment before it carries out a start, and read the clock for clock_ms a moment
-// after: clock_ms is told of the answer, not of the list. The owner takes the
-// running task for gone. With nothing else of its own at that worker it does not ask
-// there again, so that the run ends done without a stop, beside the second one.
+// A worker that answers polls and orders on several threads may gather its list just before it
+// carries out a start, and read the clock for clock_ms just after it: clock_ms is the time of the
+// answer, not of the list. An owner that concluded that the running task is gone would not poll a
+// worker without other tasks again, so that the run ends done without a stop, beside a second one.
 func TestListOfAPollBeforeTheStartProvesNothing(t *testing.T) {
 	core, now := idleCore(t, 2)
 	core.AddJob(simpleJob(1, 1), nil, false, now)
--- a/dispatch/partlyread_test.go
+++ b/dispatch/partlyread_test.go
@@ -7,12 +7,10 @@
 	"leverstile.dev/job"
 )
 
-// TestPartlyReadWorkerIsWaitedForWhileItsLeasesLast: a worker whose answers were full so far,
-// and whose leases the new owner has extended, is not resolved by one poll without an answer
-// once the previous owner's leases are over.
-//
-// Users would see a task start again whose done end is acknowledged a moment later: the store
-// was slow for longer than the recovery, so that the first 500 ends stayed unacknowledged.
+// A worker whose answers were all full, and whose leases the new owner has extended, must not be
+// resolved by one unanswered poll once the previous owner's leases have expired. This happens if
+// the store is slow for longer than the recovery, so that the first 500 ends stay unacknowledged;
+// a task whose done end is acknowledged shortly afterwards would start again.
 func TestPartlyReadWorkerIsWaitedForWhileItsLeasesLast(t *testing.T) {
 	now := Instant{Steady: time.Second}
 	core := livesCore(now, RosterEntry{ID: "w1", Address: "w1", VM: "m1"})
@@ -30,7 +28,7 @@
 		core.Tick(now)
 	}
 	if n := len(starts(core)); n != 0 || core.Recovering() == 0 {
-		t.Fatalf("%d starts, waits for %d workers", n, core.Recovering())
+		t.Fatalf("%d starts, %d workers unresolved", n, core.Recovering())
 	}
 	order := core.PlanHold("w1", now).Order
 	lease = max(lease, order.DeadlineMS)
@@ -46,6 +44,6 @@
 	end := EndedTask{Number: maxEndsListed + 1, Task: job.TaskID{Job: spec.ID}, Run: 1<<runBits | 1, Kind: EndDone}
 	core.HoldDone(order, HoldReply{ClockMS: now.Steady.Milliseconds() + 5, Ended: []EndedTask{end}}, OutcomeOK, now)
 	if !t.Failed() && core.Recovering() != 0 {
-		t.Error("a worker that was read whole is waited for")
+		t.Error("a worker whose lists were read completely is unresolved")
 	}
 }
--- a/dispatch/polls_test.go
+++ b/dispatch/polls_test.go
@@ -5,11 +5,9 @@
 	"time"
 )
 
-// TestStoppedRunIsGivenUpInTime: a run that is to stop, and that no list shows, is given up
-// in bounded time also if the worker answers polls slowly and stops at once.
-//
-// Users would see a cancelled task's room taken, and a task that is moved wait, for as long
-// as the worker's lists take more than half a second.
+// A run that is to stop, and that no list shows, is given up in bounded time even if the worker
+// answers polls slowly and stops at once. Otherwise a cancelled task's capacity stays in use, and
+// a moved task waits, for as long as the worker's lists take more than half a second.
 func TestStoppedRunIsGivenUpInTime(t *testing.T) {
 	for _, takes := range []time.Duration{20 * time.Millisecond, 300 * time.Millisecond, 550 * time.Millisecond} {
 		if at := stoppedRunGone(t, takes); at > 5*time.Second {
@@ -18,8 +16,8 @@
 	}
 }
 
-// stoppedRunGone returns how long a stopped run that does not exist holds its task, if each
-// poll takes a time and stops are answered in 5 ms.
+// stoppedRunGone returns how long a stopped run that does not exist occupies its task, if each
+// poll takes the given time and stops are answered in 5 ms.
 func stoppedRunGone(t *testing.T, takes time.Duration) time.Duration {
 	t.Helper()
 	now := Instant{Steady: time.Second}
@@ -66,8 +64,7 @@
 	return now.Steady - began
 }
 
-// TestUnreadWorkerIsPolledAtAPace: a worker whose answers tell no clock is not polled
-// without a pause.
+// A worker whose answers report no clock must not be polled without pauses.
 func TestUnreadWorkerIsPolledAtAPace(t *testing.T) {
 	now := Instant{Steady: time.Second}
 	core := livesCore(now, RosterEntry{ID: "w1", Address: "w1", VM: "m1"})
--- a/dispatch/recover.go
+++ b/dispatch/recover.go
@@ -92,7 +92,7 @@
 	case len(c.unresolved) == 0:
 		c.trace(Decision{Event: "recovery_done", Worker: id, Reason: reason})
 	default:
-		c.trace(Decision{Event: "recovery_partly_done", Worker: id, Reason: reason + "; what may run at silent workers waits"})
+		c.trace(Decision{Event: "recovery_partly_done", Worker: id, Reason: reason + "; tasks that may run at silent workers still wait"})
 	}
 	c.unknown = true
 	c.settleUnknown(now)
--- a/dispatch/recover_test.go
+++ b/dispatch/recover_test.go
@@ -35,10 +35,10 @@
 	return parts
 }
 
-// storeOpen tells a core that the store has open entries of these workers.
+// storeOpen records in a core that the store has open entries of these workers.
 func storeOpen(core *Core, ids ...WorkerID) { core.RosterStored([]RosterPart{{open: ids}}) }
 
-// rosterStore is what the store holds of the roster.
+// rosterStore is the stored parts of the roster.
 type rosterStore map[int]RosterPart
 
 func (s rosterStore) put(parts []RosterPart) rosterStore {
@@ -61,7 +61,7 @@
 }
 
 // startedCore returns a core with two workers that run one task each, and the
-// worker of the first.
+// worker of the first task.
 func startedCore(t *testing.T, now Instant) (*Core, WorkerID) {
 	t.Helper()
 	core := sureCore(Params{RecoveryWait: 10 * time.Second}, 1, now)
@@ -80,8 +80,8 @@
 	return core, core.jobs[spec.ID].steps[0].tasks[0].attempt.worker.info.ID
 }
 
-// TestTakeoverWaitsOnlyForWhatMayRunAtSilentWorkers: a worker that drained, or was silent,
-// before the owner died holds up only the tasks that it may run.
+// A worker that drained, was silent or was no longer listed before the owner died must
+// delay only the tasks that it may run, not all tasks.
 func TestTakeoverWaitsOnlyForWhatMayRunAtSilentWorkers(t *testing.T) {
 	for name, quieten := range map[string]func(core *Core, id WorkerID, now Instant){
 		"draining": func(core *Core, id WorkerID, now Instant) {
@@ -113,7 +113,7 @@
 
 			next := livesCore(now, list...)
 			next.SetWorkers([]WorkerInfo{lifeInfo("w1", "m1"), lifeInfo("w2", "m2"), lifeInfo("w3", "m3")}, now)
-			next.AddJob(simpleJob(1, 2), nil, true, now) // as it was handed in
+			next.AddJob(simpleJob(1, 2), nil, true, now) // as it was submitted
 			next.AddJob(simpleJob(2, 3), nil, true, now)
 			rosterOf(t, next)
 			for _, id := range []WorkerID{"w1", "w2", "w3"} {
@@ -139,8 +139,8 @@
 	}
 }
 
-// TestReopenedWorkerGetsNoStartsBeforeItsEntryIsStored: the next owner would
-// not look for them.
+// A start at a reopened worker before its entry is stored as open would be unknown to the
+// next owner.
 func TestReopenedWorkerGetsNoStartsBeforeItsEntryIsStored(t *testing.T) {
 	now := Instant{Steady: time.Second}
 	core, id := startedCore(t, now)
@@ -157,7 +157,7 @@
 	core.Tick(now)
 	for _, o := range core.TakeOrders() {
 		if o.Kind == OrderStart && o.Worker == id {
-			t.Fatalf("%s is started there before the entry is stored", o.Task)
+			t.Fatalf("%s is started there before the open entry is stored", o.Task)
 		}
 	}
 	if list := rosterOf(t, core); entryOf(list, id).Closed {
@@ -182,8 +182,8 @@
 	return RosterEntry{}
 }
 
-// TestClosedEntryNamesEndsThatAreNotStored: the next owner would start a task
-// again whose end the worker still lists.
+// A closed entry must name a task whose end the worker lists and the store lacks, or the
+// next owner starts the task again.
 func TestClosedEntryNamesEndsThatAreNotStored(t *testing.T) {
 	now := Instant{Steady: time.Second}
 	core, id := startedCore(t, now)
@@ -199,9 +199,9 @@
 	}
 }
 
-// TestRunsOfEndedJobsHoldTheirRoom: after a takeover a worker may still run tasks of a job
-// that was cancelled, or whose record is gone. Until they are stopped they take room, which
-// workers without an admission check do not guard.
+// After a takeover, a worker may still run tasks of a job that was cancelled, or whose record
+// was removed. Until they are stopped they use capacity, which workers without an admission
+// check do not enforce.
 func TestRunsOfEndedJobsHoldTheirRoom(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		now := Instant{Steady: time.Second}
@@ -236,9 +236,9 @@
 	core.HoldDone(core.PlanHold(id, now).Order, HoldReply{ClockMS: now.Steady.Milliseconds(), Ended: []EndedTask{end}}, OutcomeOK, now)
 }
 
-// TestTakeoverAwaitsEarlierFailures: a task failed at w1, and its second run at w2 goes on when
-// the owner dies before the store has either. The next owner adopts the second run and reads its
-// failure before w1 has answered. With two attempts in all it must not start the task again.
+// A task failed at w1, and its second run is running at w2 when the owner dies before either is
+// stored. The next owner adopts the second run and reads its failure before w1 has answered. With
+// two attempts allowed it must not start the task again.
 func TestTakeoverAwaitsEarlierFailures(t *testing.T) {
 	for name, gang := range map[string]bool{"task": false, "gang": true} {
 		t.Run(name, func(t *testing.T) {
@@ -274,7 +274,7 @@
 	}
 }
 
-// TestTakeoverRetriesOnceAllHaveAnswered: the wait ends with the last answer.
+// The wait for earlier failures must end with the last worker's answer.
 func TestTakeoverRetriesOnceAllHaveAnswered(t *testing.T) {
 	now := Instant{Steady: time.Second}
 	core := livesCore(now, RosterEntry{ID: "w1", Address: "w1"}, RosterEntry{ID: "w2", Address: "w2"})
@@ -296,8 +296,8 @@
 	}
 }
 
-// A next owner that can't read which workers had orders waits, with all that may
-// have begun, until every lease of the previous owner is over.
+// A next owner that can't read which workers had orders must delay all tasks that may
+// have started until every lease of the previous owner has expired.
 func TestUnreadableRosterHoldsUpWhatMayRun(t *testing.T) {
 	now := Instant{Steady: time.Minute}
 	core := sureCore(Params{RecoveryWait: 10 * time.Second}, 2, now)
--- a/dispatch/rostertwice_test.go
+++ b/dispatch/rostertwice_test.go
@@ -7,10 +7,9 @@
 	"time"
 )
 
-// TestAWorkerThatTheRosterNamesTwice: a worker that was dropped from one part of the roster, and
-// taken up in another before the first was written, may run what either entry names.
-//
-// Users would see a task run twice at a time after a takeover.
+// A worker that was dropped from one part of the roster, and added to another before the first was
+// written, has two entries and may run the tasks of either. If the next owner used only one entry,
+// a task would run twice at a time.
 func TestAWorkerThatTheRosterNamesTwice(t *testing.T) {
 	task := func(n int) string { return fmt.Sprintf("%s.0.0.%d", simpleJob(1, 3).ID, n) }
 	open := RosterEntry{ID: "w1", VM: "m1"}
@@ -41,7 +40,7 @@
 			if got := startedTasks(core); !slices.Equal(got, x.started) {
 				t.Errorf("before the worker's lists are read, %v are started, want %v", got, x.started)
 			}
-			for range 2 { // what was being started may be on the second list only
+			for range 2 { // a run that was just being started may be on the second list only
 				now.Steady += 2 * startGap
 				poll(core, "w1", now.Steady-startGap, now.Steady)
 			}
@@ -50,7 +49,7 @@
 				t.Errorf("%d tasks are started once all lists are read, want 3", n)
 			}
 			if n := core.Recovering(); n != 0 {
-				t.Errorf("%d workers are waited for once all lists are read", n)
+				t.Errorf("%d workers are unresolved once all lists are read", n)
 			}
 		})
 	}
--- a/dispatch/silence.go
+++ b/dispatch/silence.go
@@ -69,7 +69,7 @@
 func (c *Core) loseAll(w *worker, lost []*attempt, reason string, now Instant) {
 	for _, a := range lost {
 		c.stats.Lost++
-		c.tellGivenUp("run_lost", a, reason, fmt.Sprintf("lease to %d of worker's clock %d", w.lastDeadline, w.clockNow(now)), now.Steady-w.lastAnswer)
+		c.tellGivenUp("run_lost", a, reason, fmt.Sprintf("lease until %d, worker's clock %d", w.lastDeadline, w.clockNow(now)), now.Steady-w.lastAnswer)
 		a.task.concluded, a.lost = true, !a.unsent
 		c.release(a, now)
 	}
--- a/dispatch/unorderedrun_test.go
+++ b/dispatch/unorderedrun_test.go
@@ -2,10 +2,9 @@
 
 import "testing"
 
-// A worker told the ends of runs of this term that the owner had never ordered. One that was
-// "done" marked the task as done and stopped its real run: the job was shown as succeeded with its
-// work undone. "Failed" ones used up its attempts. No worker that keeps to its protocol lists
-// such ends.
+// A worker that violates the protocol may list ends of runs of this term that the owner never
+// ordered. A "done" one must not mark the task as done and stop its real run, which would show the
+// job as succeeded with its work undone; "failed" ones must not use up the task's attempts.
 func TestEndsOfRunsThatWereNotOrderedAreIgnored(t *testing.T) {
 	x := newCheckpointCore(t, 1, nil)
 	first := x.order(0)
--- a/dispatch/younglease_test.go
+++ b/dispatch/younglease_test.go
@@ -5,13 +5,12 @@
 	"time"
 )
 
-// TestAYoungRunOutlivesOneSilentPoll: a run on a worker that was idle, whose first poll meets a
-// connection that has fallen silent, has its lease renewed by the polls after it.
-//
-// Users would see what was started just before such a break of the network end and start
-// again. The start's deadline is all the lease that the run has until a poll is answered.
+// A run on a worker that was idle, whose first poll is sent on a connection that no longer
+// delivers, has its lease renewed by the polls after it. The start's deadline is the run's only
+// lease until a poll is answered; tasks started just before such a network fault would end and
+// start again.
 func TestAYoungRunOutlivesOneSilentPoll(t *testing.T) {
-	// callTimeout is how long a worker may take to answer beyond the wait that it was asked for.
+	// callTimeout is how long a worker may take to answer beyond the requested wait.
 	const callTimeout = 600 * time.Millisecond
 	for since := time.Duration(0); since <= idlePause; since += 50 * time.Millisecond {
 		core, now := idleCore(t, 1)
@@ -23,11 +22,11 @@
 		}
 		core.OrderDone(list[0], Answer{Outcome: OutcomeOK, ClockMS: 1000}, now)
 		began := now.Steady
-		now.Steady += since // until then its poller pauses
+		now.Steady += since // until then the polling loop pauses
 		plan := core.PlanHold("w0", now)
 		now.Steady += plan.Order.Wait + callTimeout
 		now.Steady += core.HoldDone(plan.Order, HoldReply{}, OutcomeUnknown, now)
-		for range 2 { // one may only ask
+		for range 2 { // one may only ask for lists
 			plan = core.PlanHold("w0", now)
 			reply := HoldReply{ClockMS: 1000 + (now.Steady - began).Milliseconds(), Running: []RunningTask{{Task: list[0].Task, Run: list[0].Run, Percent: 100}}}
 			if plan.Order.DeadlineMS > 0 {
