--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -37,7 +37,7 @@
 	// MaxWorkerListAge is how old the list of workers may be at starts in a service whose
 	// workers do not check their capacity, which may have shrunk since. 0 means no limit.
 	RoomNotice time.Duration
-	// OwnerGap is the least time between VM orders of two owners.
+	// HolderGap is the least time between VM orders of two owners.
 	HolderGap time.Duration
 	// RecoveryWait is how long after a takeover orders of the previous owner
 	// may still be in force at a worker that does not answer.
@@ -212,9 +212,8 @@
 )
 
 // runBits is the number of bits of a run number below the term. 2^28 starts in one
-// term last two days at 1550 starts a second, the highest rate
-// expected; terms then fit the remaining 24 bits of the 2^53 that JSON numbers carry
-// exactly.
+// term last two days at 1550 starts a second, the highest rate expected; terms then
+// fit the remaining 24 bits of the 2^53 that JSON numbers carry exactly.
 const runBits = 28
 
 // New returns a core for one term. It calls trace for each decision.
