--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -15,7 +15,7 @@
 
 // Params are the times and factors that decisions use.
 type Params struct {
-	// TaskLease is the length of the leases that are given on the runs at workers.
+	// TaskLease is the length of the leases that are granted for runs at workers.
 	TaskLease time.Duration
 	// MaxTaskLease is the longest lease that a worker accepts.
 	MaxTaskLease time.Duration
@@ -68,7 +68,7 @@
 	deposed bool
 
 	config *job.Config
-	queues map[string]job.Queue // all queues seen so far, with their newest terms
+	queues map[string]job.Queue // all queues seen so far, with their newest settings
 	// services holds the services of all queues.
 	services map[string]bool
 	// unguarded holds the services whose workers do not check their capacity, listedAt is
@@ -265,7 +265,7 @@
 func (c *Core) certain(now Instant) bool { return now.Steady < c.certainUntil }
 
 // SetConfig applies a version of the configuration. A queue that was removed
-// keeps its last terms for the jobs that it accepted.
+// keeps its last settings for the jobs that it accepted.
 func (c *Core) SetConfig(config *job.Config) {
 	if c.config != nil && config.Version < c.config.Version {
 		return
--- a/dispatch/worker.go
+++ b/dispatch/worker.go
@@ -90,7 +90,7 @@
 	kept            bool // reserved for short tasks; see keptRoom
 	unanswered      int
 	holdFails       int
-	knownAt         time.Duration // when it was first listed or recovered
+	knownAt         time.Duration // when the owner first had a record of it
 	lastAnswer      time.Duration // to a poll
 	heardAt         time.Duration // when it last answered any call
 	loss            contactLoss
@@ -107,7 +107,7 @@
 	leavesAt        time.Duration // latest time at which a draining worker ends
 	load            workerLoad
 	sample          sample
-	reserved        time.Duration // until then no more tasks are preempted to free capacity here
+	reserved        time.Duration // until then no more fill tasks are preempted here
 	openness        float64       // see rateOpenness
 	cordoned        bool          // its VM waits for maintenance: no new tasks
 	takenDown       bool          // the maintenance of its VM has ended this incarnation
