--- a/dispatch/chooser.go
+++ b/dispatch/chooser.go
@@ -2,9 +2,9 @@
 
 import "container/heap"
 
-// chooser chooses workers for the tasks of one step, one after the other: the
-// workers are rated once, and only the chosen one again. Eight tasks at 2,000
-// workers take one walk over the workers instead of eight.
+// chooser selects workers for the tasks of one step, one after the other: all workers
+// are rated once, and after each choice only the chosen one again. Eight tasks at
+// 2,000 workers take one walk over the workers instead of eight.
 type chooser struct {
 	core *Core
 	step *stepRun
@@ -14,8 +14,8 @@
 	rated ratedWorkers
 }
 
-// ratedWorker is a worker with its score; at is its place in the pool, which
-// decides between equals.
+// ratedWorker is a worker with its score; at is its index in the pool, which
+// breaks ties.
 type ratedWorker struct {
 	worker *worker
 	score  float64
@@ -34,7 +34,7 @@
 	return x
 }
 
-// best returns the best worker but one, or nil.
+// best returns the best worker whose id is not avoid, or nil.
 func (x *chooser) best(avoid WorkerID) *worker {
 	if len(x.rated) == 0 {
 		return nil
@@ -55,7 +55,7 @@
 	return second.worker
 }
 
-// placed rates a worker anew that has got a task.
+// placed updates the rating of a worker that was given a task.
 func (x *chooser) placed(w *worker) {
 	for i := range x.rated {
 		if x.rated[i].worker != w {
--- a/dispatch/eligible.go
+++ b/dispatch/eligible.go
@@ -5,47 +5,46 @@
 	"strings"
 )
 
-// barrier is why a worker gets no new tasks. The choice of workers, kept room,
-// admission, gangs, moves and explanations ask barrierOf, so that they never
-// count on a worker that the others leave out.
+// exclusion is the reason why a worker gets no new tasks. The choice of workers,
+// reserved capacity, admission, gangs, moves and explanations all use exclusionOf, so
+// that none of them counts on a worker that the others leave out.
 type barrier uint8
 
 const (
 	barrierNone barrier = iota
-	// barrierUnlisted: the platform does not list it, or its entry can't be used.
+	// exclusionUnlisted: the platform does not list the worker, or its list entry is unusable.
 	barrierUnlisted
-	// barrierOver: its life has ended.
-	barrierOver
+	// exclusionEnded: the worker's incarnation has ended.
 	barrierDraining
-	// barrierEvacuated: the operators have evacuated its data centre.
+	// exclusionEvacuated: the operators have evacuated the worker's data centre.
 	barrierEvacuated
-	// barrierUpkeep: its VM waits for upkeep.
+	// exclusionMaintenance: the worker's VM waits for maintenance.
 	barrierUpkeep
-	// barrierUnread: its lists were not read under this term.
+	// exclusionUnread: the worker's lists were not read in this owner's term.
 	barrierUnread
 	barrierSilent
-	// barrierAvoided: its tasks fail one after the other, or it refuses work.
+	// exclusionAvoided: the worker's tasks fail one after the other, or it refuses work.
 	barrierAvoided
-	// barrierEndsDoubted: its ends may be forgotten before they are read; see doubtEnds.
+	// exclusionEndsUncertain: the worker may drop the ends of its runs before they are read; see doubtEnds.
 	barrierEndsDoubted
-	// barrierLifeDoubted: another owner may be there; see lifeDoubted.
+	// exclusionIncarnationUncertain: another owner may be there; see lifeDoubted.
 	barrierLifeDoubted
-	// barrierStale: its clock was read too long ago for a deadline; see leastAt.
+	// exclusionStaleClock: the worker's clock was read too long ago to set a deadline; see leastAt.
 	barrierStale
-	// barrierOldRoom: it does not guard its room, which may have shrunk since the list
-	// of workers was read.
+	// exclusionStaleCapacity: the worker does not check its own capacity, which may have
+	// shrunk since the list of workers was read.
 	barrierOldRoom
-	// barrierUnrecorded: the next owner would not know that it may have orders.
+	// exclusionUnrecorded: the next owner would have no record that the worker may have orders.
 	barrierUnrecorded
 	barrierKinds
 )
 
-// String returns the name, as logged and as told by Explain.
+// String returns the name of the reason, as logged and as shown by Explain.
 func (b barrier) String() string {
 	return [...]string{"none", "unlisted", "over", "draining", "evacuated", "upkeep", "unread", "silent", "avoided", "ends_doubted", "life_doubted", "stale", "old_room", "unrecorded"}[b]
 }
 
-// barrierOf returns the first reason why a worker gets no new tasks.
+// exclusionOf returns the first reason why a worker gets no new tasks.
 func (c *Core) barrierOf(w *worker, now Instant) barrier {
 	switch {
 	case !w.listed:
@@ -84,7 +83,7 @@
 	return w.info.Service == service && c.barrierOf(w, now) == barrierNone
 }
 
-// poolOf returns the workers of a service that take work, in a fixed order.
+// poolOf returns the workers of a service that get new tasks, in a fixed order.
 func (c *Core) poolOf(service string, now Instant) []*worker {
 	members := c.members[service]
 	pool := make([]*worker, 0, len(members))
@@ -96,7 +95,7 @@
 	return pool
 }
 
-// barrierCounts is how many workers there are behind each barrier.
+// exclusionCounts is the number of workers for each exclusion.
 type barrierCounts [barrierKinds]int
 
 func (c *Core) countBarriers(service string, now Instant) (counts barrierCounts) {
@@ -106,8 +105,8 @@
 	return counts
 }
 
-// String names the barriers with workers behind them, and is empty if all take
-// work.
+// String lists the exclusions that apply to any worker, and is empty if all workers
+// get new tasks.
 func (n barrierCounts) String() string {
 	var parts []string
 	for b := barrierNone + 1; b < barrierKinds; b++ {
@@ -118,7 +117,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// BarrierNames returns the names of the reasons why workers get no new tasks.
+// ExclusionNames returns the names of the reasons why workers get no new tasks.
 func BarrierNames() []string {
 	names := make([]string, 0, barrierKinds-1)
 	for b := barrierNone + 1; b < barrierKinds; b++ {
@@ -127,7 +126,7 @@
 	return names
 }
 
-// WorkersBarred returns how many workers get no new tasks for a reason.
+// WorkersExcluded returns how many workers get no new tasks for a reason.
 func (c *Core) WorkersBarred(reason string, now Instant) int {
 	n := 0
 	for _, w := range c.order {
--- a/dispatch/gang.go
+++ b/dispatch/gang.go
@@ -1,6 +1,7 @@
 package dispatch
 
-// placeGang starts all tasks of a gang at once, or none.
+// placeGang starts all tasks of a gang at once, or none. A suspect gang is one with
+// members that may have crashed their workers; it is started apart from other suspects.
 func (c *Core) placeGang(s *stepRun, p *pool, now Instant) {
 	if s.ready < s.left || s.gangRun != 0 {
 		return
@@ -37,8 +38,9 @@
 	}
 }
 
-// chooseGangApart is chooseGang; members of a suspect gang go to workers where no
-// other suspect was just started, unless it has long waited for that.
+// chooseGangApart chooses workers as chooseGang does; members of a suspect gang go to
+// workers where no other suspect was just started, unless the gang has waited for that
+// longer than starvedAfter.
 func (c *Core) chooseGangApart(s *stepRun, p *pool, now Instant) (chosen []*worker, apart bool) {
 	if s.suspects == 0 {
 		return c.chooseGang(s, p.workers, now), false
@@ -50,8 +52,8 @@
 	return c.chooseGang(s, p.workers, now), false
 }
 
-// chooseGang returns a worker for each task of a gang: in one rack if it asks
-// for that and one has room, else anywhere.
+// chooseGang returns a worker for each task of a gang: all in one rack if the step
+// requests that and a rack has the capacity, else anywhere.
 func (c *Core) chooseGang(s *stepRun, pool []*worker, now Instant) []*worker {
 	if s.spec.SameRack {
 		racks := map[string][]*worker{}
@@ -71,7 +73,7 @@
 	return c.fitGang(s, pool, now)
 }
 
-// fitGang finds room for all tasks, worker by worker, without changing any.
+// fitGang returns workers with capacity for all tasks, or nil; it changes no worker.
 func (c *Core) fitGang(s *stepRun, pool []*worker, now Instant) []*worker {
 	amount := s.amount()
 	chosen := make([]*worker, 0, len(s.tasks))
--- a/dispatch/interference.go
+++ b/dispatch/interference.go
@@ -5,48 +5,47 @@
 	"slices"
 )
 
-// interference learns how much each image that fills takes of the headroom of
-// each image that serves.
+// interference learns how much headroom each image of fill tasks takes from each
+// serving image. A fill task ("fill") uses only processor time that others leave.
 //
-// Headroom is a serving task's target over its tail: 1 at the target, more
-// below it. The tail of a server grows with 1/(1 - utilization), and what runs
+// Headroom is a serving task's target divided by its tail latency: 1 at the target, more
+// below it. The tail latency of a server grows with 1/(1 - utilization), and what runs
 // beside it adds to its utilization, so headroom falls by a coefficient times
-// the processor use of each image beside it, as a part of the worker's size.
+// the processor use of each image beside it, as a share of the worker's size.
 // Readings swing with the task's own load within seconds, but smoothly, while
-// fills come and go at once: the model learns from the difference between two
+// fills start and end abruptly: the model learns from the difference between two
 // readings. The coefficients of a serving image are a Bayesian linear
 // regression over the readings of all workers (recursive least squares); old
-// readings fade. Its variance tells a pair that is harmless from one that was
-// not seen yet.
+// readings fade. Its variance tells a harmless pair from one that was not seen yet.
 type interference struct {
 	images map[string]*regression
 }
 
-// Figures of the model. They were chosen by the runs in docs/design/interference.md.
+// Parameters of the model; docs/design/interference.md has the runs behind them.
 const (
 	// priorPair is the expected coefficient of a pair that was not seen yet.
-	// On recorded days a third of the pairs take 4 to 9, the others under 1.
+	// On recorded days a third of the pairs have 4 to 9, the others under 1.
 	priorPair    = 2.0
 	priorPairVar = 9.0
 	// differenceVar is the variance of a difference of readings that the model
-	// does not explain: rounding, and the swing of the task's own load.
+	// does not explain: rounding, and swings of the task's own load.
 	differenceVar = 0.12
-	// fading lets the variance grow by this factor with each reading, which
-	// is a memory of about 20,000 readings of a serving image.
+	// fading multiplies the variance with each reading, which gives
+	// a memory of about 20,000 readings of a serving image.
 	fading = 1.00005
-	// maxPairs bounds the images that are told apart beside a serving image;
-	// with 8 bytes for each of their pairs, 18 KB a serving image.
+	// maxPairs limits the images that are distinguished beside a serving image;
+	// with 8 bytes for each of their pairs, that is 18 KB per serving image.
 	maxPairs = 48
 )
 
-// regression is that of one serving image.
+// regression estimates the coefficients of one serving image.
 type regression struct {
 	index map[string]int
 	mean  []float64
 	cov   [][]float64
 }
 
-// pressure is the processor use of one image on a worker, over the worker's size.
+// pressure is the processor use of one image on a worker, as a share of the worker's size.
 type pressure struct {
 	image string
 	share float64
@@ -75,8 +74,8 @@
 	r.cov = append(r.cov, row)
 }
 
-// find returns the index of an image's coefficient, or -1 if there is none and
-// no room for one.
+// find returns the index of an image's coefficient, adding it if needed, or -1 if there
+// are maxPairs already.
 func (r *regression) find(image string) int {
 	if i, ok := r.index[image]; ok {
 		return i
@@ -88,8 +87,8 @@
 	return len(r.mean) - 1
 }
 
-// learn takes in a difference of a serving task's headroom between two readings
-// and the differences of the pressures beside it.
+// learn updates the model with the change of a serving task's headroom between two
+// readings and the changes of the pressures beside it.
 func (m *interference) learn(serving string, change float64, beside []pressure) {
 	r := m.regression(serving)
 	x := r.vector(beside)
@@ -98,10 +97,10 @@
 		return // nothing beside it has changed
 	}
 	variance += differenceVar
-	miss := -change - predicted
+	residual := -change - predicted
 	for i := range r.mean {
 		g := gain[i] / variance
-		r.mean[i] = max(r.mean[i]+g*miss, 0)
+		r.mean[i] = max(r.mean[i]+g*residual, 0)
 		for j := range r.cov[i] {
 			r.cov[i][j] = (r.cov[i][j] - g*gain[j]) * fading
 		}
@@ -111,8 +110,8 @@
 	}
 }
 
-// limit keeps a variance at its prior, so that fading does not let the doubt
-// about pairs that are not met grow without bound.
+// limit keeps a variance at its prior, so that fading does not increase the uncertainty
+// of pairs that do not occur without bound.
 func (r *regression) limit(i int, variance float64) {
 	f := math.Sqrt(variance / r.cov[i][i])
 	for j := range r.cov {
@@ -153,7 +152,7 @@
 	return gain, variance, predicted
 }
 
-// cost returns the headroom that these pressures are expected to take of a
+// cost returns the headroom that these pressures are expected to take from a
 // serving image.
 func (m *interference) cost(serving string, beside []pressure) float64 {
 	sum := 0.0
@@ -164,7 +163,7 @@
 	return sum
 }
 
-// coefficient returns the expected effect of a pair and its deviation.
+// coefficient returns the expected coefficient of a pair and its standard deviation.
 func (m *interference) coefficient(serving, image string) (mean, deviation float64) {
 	r := m.images[serving]
 	if r == nil {
@@ -177,18 +176,18 @@
 	return r.mean[i], math.Sqrt(max(r.cov[i][i], 0))
 }
 
-// workerLoad sums what a worker's tasks do to each other. It is rebuilt at
-// each list of the worker and corrected at each start, so that placement needs
+// workerLoad sums the load of a worker's tasks as far as it affects other tasks. It is
+// rebuilt at each list of the worker and corrected at each start, so that placement needs
 // no walk over tasks.
 type workerLoad struct {
 	serving  []servingLoad
-	fills    []pressure // by image, from readings or, for young runs, demands
-	fillCPU  float64    // thousandths of a core that fills use or ask for
-	otherCPU float64    // of tasks that neither serve nor fill
+	fills    []pressure // by image, from readings or, for recent runs, demands
+	fillCPU  float64    // thousandths of a core that fills use or request
+	otherCPU float64    // of tasks that are neither serving nor fill tasks
 }
 
-// servingLoad is a serving image on a worker, with the least headroom that one
-// of its tasks is expected to have alone.
+// servingLoad is a serving image on a worker, with the least headroom that any
+// of its tasks is expected to have without fills beside it.
 type servingLoad struct {
 	image string
 	alone float64
@@ -212,7 +211,7 @@
 	l.serving = append(l.serving, servingLoad{image, alone})
 }
 
-// rebuild sums the worker's tasks anew.
+// rebuild recomputes the worker's load from its tasks.
 func (w *worker) rebuild() {
 	l := workerLoad{serving: w.load.serving[:0], fills: w.load.fills[:0]}
 	for _, a := range w.attempts {
@@ -229,8 +228,8 @@
 	w.load = l
 }
 
-// demand returns the processor time that a fill uses at its full pace, or asks
-// for while there is no reading.
+// demand returns the processor time that a fill uses at its full pace, or requests
+// while there is no reading.
 func (a *attempt) demand() float64 {
 	if a.hasUse {
 		return a.fullCPU
@@ -238,8 +237,8 @@
 	return float64(a.task.step.spec.CPUMilli)
 }
 
-// cpu returns the processor time that a fill uses at its present pace; one that is
-// not known may be the full one.
+// cpu returns the processor time that a fill uses at its present pace (its CPU share
+// limit); an unknown pace counts as the full one.
 func (a *attempt) cpu() float64 {
 	if a.paced == paceUnknown {
 		return a.demand()
--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Figures of placement.
+// Limits of placement.
 const (
-	// starvedAfter, a job that has nothing running is placed wherever there
-	// is room, whatever the model says.
+	// starvedAfter is the time after which a job that has nothing running is placed
+	// wherever there is capacity, whatever the interference model predicts.
 	starvedAfter = 1500 * time.Millisecond
-	// starvedUse is the part of a pool's declared room in use below which this
-	// holds. In a fuller pool a job may wait for a place where it does no harm.
+	// starvedUse is the share of a pool's declared capacity in use below which this
+	// applies. In a fuller pool a job may wait for a place where it does no harm.
 	starvedUse = 0.6
-	// waitingPause is the pause between two log lines on a step that waits.
+	// waitingPause is the minimum time between two log lines on a step that waits.
 	waitingPause = time.Second
 )
 
-// Schedule starts what is ready as far as there is room.
+// Schedule starts ready tasks, in the order of their steps' ranks, as far as there is capacity.
 func (c *Core) Schedule(now Instant) {
 	if c.deposed || now.Steady >= c.validUntil {
 		return
@@ -51,14 +51,13 @@
 	c.noteDemand(list, now)
 }
 
-// pool holds the workers that a pass may place a step's tasks on.
+// pool holds the workers on which a scheduling pass may place a step's tasks.
 type pool struct {
 	workers []*worker
-	// use is the part of their processors that is taken, as of the pass's first
-	// step that asks; useKnown is set then. A pass places a few per cent.
-	use      float64
+	// use is the share of their processors that is taken, read once per pass when a
+	// step first needs it; useKnown is set then. A pass changes it by a few per cent.
 	useKnown bool
-	// withoutSuspects is set once a step of the pass has asked for it.
+	// withoutSuspects is set once a step of the pass has requested it.
 	withoutSuspects *apartPool
 }
 
@@ -69,14 +68,14 @@
 	return p.use
 }
 
-// placeStep starts as many ready tasks of a step as there is room for.
+// placeStep starts as many ready tasks of a step as there is capacity for.
 func (c *Core) placeStep(s *stepRun, p *pool, now Instant) {
 	queue := c.queues[s.job.spec.Queue]
 	if s.suspects > 0 {
 		c.placeSuspects(s, p, now)
 	}
 	x := s.shape(queue.Service, c.viewOf(s, p, now))
-	refusable := queue.Advice == nil // else the pool is the step's own
+	refusable := queue.Advice == nil // with advice, the pool is the step's own
 	if refusable && c.stillRefused(s, x, now) {
 		c.makeRoom(s, queue.Priority, p.workers, now)
 		return
@@ -107,8 +106,8 @@
 	}
 }
 
-// viewOf returns how the step's job looks at workers: one that has long had
-// nothing running takes what there is, unless the pool is full.
+// viewOf returns which restricted workers the step's job may use: a job that has had
+// nothing running for long takes what there is, unless the pool is full.
 func (c *Core) viewOf(s *stepRun, p *pool, now Instant) view {
 	starved := s.starved(now)
 	v := c.plainView(s, now)
@@ -116,7 +115,7 @@
 	return v
 }
 
-// plainView is viewOf for a job that takes no more than others.
+// plainView returns the same as viewOf for a job that is not starved.
 func (c *Core) plainView(s *stepRun, now Instant) view {
 	return view{
 		sparesSlow: s.sparesSlow(now),
@@ -124,18 +123,19 @@
 	}
 }
 
-// starved reports whether the job has had nothing running for long.
+// starved reports whether the job has had nothing running for longer than starvedAfter.
 func (s *stepRun) starved(now Instant) bool {
 	return s.job.active == 0 && now.Steady-s.job.idleSince > starvedAfter
 }
 
-// makeRoom makes room for a step that no worker takes, if that is due.
+// freeCapacity preempts fills for a step that fits no worker, if that is due, and logs
+// why the step waits.
 func (c *Core) makeRoom(s *stepRun, priority int, pool []*worker, now Instant) {
 	c.preempt(s, priority, pool, now)
 	c.tellWaiting(s, pool, now)
 }
 
-// tellWaiting logs, now and then, why ready tasks of a step do not start.
+// logWaiting logs, at most once per waitingPause, why ready tasks of a step do not start.
 func (c *Core) tellWaiting(s *stepRun, pool []*worker, now Instant) {
 	if now.Steady < s.toldWaiting+waitingPause {
 		return
@@ -155,13 +155,13 @@
 			reason = "no worker has the processors"
 		}
 	}
-	if barred := c.countBarriers(c.queues[s.job.spec.Queue].Service, now).String(); barred != "" {
-		reason += "; workers that get nothing: " + barred
+	if excluded := c.countBarriers(c.queues[s.job.spec.Queue].Service, now).String(); excluded != "" {
+		reason += "; workers that get nothing: " + excluded
 	}
 	c.trace(Decision{Event: "step_waits", Job: s.job.spec.ID, Reason: reason, Age: now.Steady - s.job.idleSince})
 }
 
-// poolUse returns the part of the workers' processors that is taken.
+// poolUse returns the share of the workers' processors that is taken.
 func poolUse(pool []*worker) float64 {
 	var used, size int64
 	for _, w := range pool {
@@ -172,6 +172,7 @@
 }
 
 func (c *Core) place(t *task, w *worker, run uint64, now Instant) {
+	// The worker's load sums are corrected at once, before its next list is read.
 	from := t.continuesFrom()
 	d := taskDecision(eventPlaced, t, w, run, t.step.spec.Image)
 	d.Detail = from.String()
@@ -200,7 +201,7 @@
 	return s.spec.MaxPerWorker == 0 || s.perWork[w] < s.spec.MaxPerWorker
 }
 
-// choose returns the best worker for a task, or nil.
+// choose returns the best worker for a task, or nil. Unlike chooser it rates all workers.
 func (c *Core) choose(t *task, pool []*worker, v view, now Instant) *worker {
 	var best *worker
 	bestScore := 0.0
@@ -216,8 +217,8 @@
 	return best
 }
 
-// rate returns a worker's score for one more task of the step, and false if it
-// takes none.
+// rate returns a worker's score for one more task of the step, and false if the
+// worker takes none.
 func (c *Core) rate(s *stepRun, w *worker, v view, now Instant) (float64, bool) {
 	slow := now.Steady < w.slowUntil
 	if slow && v.sparesSlow || w.kept && v.sparesKept || now.Steady < w.fullUntil || !w.fits(s.amount()) || !s.allowed(w) {
--- a/dispatch/preempt.go
+++ b/dispatch/preempt.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// Figures of preemption.
+// Limits of preemption.
 const (
-	// preemptPause is the pause between two preemptions for one step: a stop
-	// takes up to 0.9 s, and its end must be read.
+	// preemptPause is the minimum time between two preemptions for one step: a stop
+	// takes up to 0.9 s, and the end of the run must be read.
 	preemptPause = 700 * time.Millisecond
-	// preemptAtOnce is the most tasks of a step that room is made for at once.
+	// preemptAtOnce is the maximum number of a step's tasks for which capacity is freed at once.
 	preemptAtOnce = 4
-	// preemptRetry is the pause between looks for room to be made for one step,
-	// each a walk over all workers: what runs where changes little meanwhile.
+	// preemptRetry is the minimum time between two searches for victims for one step;
+	// each walks over all workers, and what runs where changes little meanwhile.
 	preemptRetry = 100 * time.Millisecond
 )
 
-// preempt makes room for ready tasks of a step that only lack memory: it stops
-// fills of less urgent queues, which go on elsewhere or later.
+// preempt frees capacity for ready tasks of a step that only lack memory: it stops
+// fills of less urgent queues, which continue elsewhere or later.
 func (c *Core) preempt(s *stepRun, priority int, pool []*worker, now Instant) {
 	if s.spec.Fills || now.Steady < s.preempted+preemptPause || now.Steady < s.preemptTried+preemptRetry {
 		return
@@ -57,8 +57,8 @@
 	return best, bestVictims
 }
 
-// victims returns fills of less urgent queues that hold that much memory
-// together, slowed ones first; nil if there are not enough.
+// victims returns fills of less urgent queues that together hold the lacking
+// memory, the most slowed ones first; nil if there are not enough.
 func (c *Core) victims(w *worker, priority int, lacking int64) []*attempt {
 	var fills []*attempt
 	for _, a := range w.attempts {
--- a/dispatch/rank.go
+++ b/dispatch/rank.go
@@ -8,18 +8,18 @@
 	"leverstile.dev/job"
 )
 
-// Figures of the order of steps.
+// Values of jobs by lateness.
 const (
-	// lateFactor times its objective, a job earns nothing for being on time.
+	// lateFactor times its objective after its arrival, a job has no value left for being late.
 	lateFactor = 3
-	// lateWorth is what a job that is late is worth to its customer, as a part of
-	// what it is worth on time, as the users count.
+	// lateWorth is the value of a late job to its customer, as a share of its value
+	// on time. The users' own accounting uses this share.
 	lateWorth = 0.15
 )
 
 // rankClass orders steps of one priority. Tasks that end soon and can be on time
-// go before lasting ones, which would hold their room for a minute or more; a
-// lasting task earns with each second that it runs, so it goes before late ones.
+// go before long-running ones, which would hold their capacity for a minute or more; a
+// long-running task earns value with each second that it runs, so it goes before late ones.
 type rankClass uint8
 
 const (
@@ -29,38 +29,38 @@
 	rankHopeless
 )
 
-// rank orders steps: by priority, by class, by what is left of patient jobs, then
-// by the slack that is left.
+// rank orders steps: by priority, by class, by the share of work that is left in jobs of
+// fill tasks ("patient" jobs), then by slack, the time left to start and still be on time.
 //
-// Least slack first is right while all fits. When more patient work comes than
-// fits, it spends the room on jobs in the order in which they run out of time, and
-// each ends a little too late. The job of which the least part is left gives the
-// most for the room that it still needs, whatever its size: parts, not amounts, so
-// that large jobs do not starve behind small ones. A late one counts as what it is
-// still worth: nearly done it goes before one that has not begun. On five days with
-// more patient work than fits this gave 0.708 instead of 0.624 of the worth on
-// average, one play a day, on days where most fits the same (24 paired plays, 0.006 ± 0.004 more).
+// Least slack first is optimal while everything fits. When more fill work arrives than
+// fits, it spends the capacity on jobs in the order in which they run out of time, and
+// each ends a little too late. The job with the smallest remaining share gives the most
+// value for the capacity that it still needs, whatever its size: shares, not amounts, so
+// that large jobs do not starve behind small ones. A late job is weighted by its
+// remaining value: nearly done it goes before one that has not started. On five days with
+// more fill work than fits this gave 0.708 instead of 0.624 of the value on average, one
+// run a day; on days where most fits the same (24 paired runs, 0.006 ± 0.004 more).
 type rank struct {
 	priority int
 	class    rankClass
-	// left is the part of a patient job's work that is not done, 0 for others.
+	// left is the share of a patient job's work that is not done, 0 for others.
 	left  float64
 	slack time.Duration
 }
 
-// rankBasis is what the rank of a step follows from beside the time.
+// rankBasis holds the inputs of a step's rank except the time.
 type rankBasis struct {
 	at      time.Duration
 	version uint64 // of the job's progress
 	known   bool
-	// whole is the job's objective, chain the longest chain of work that is left.
+	// whole is the job's objective, chain the critical path of the work that is left.
 	whole, chain time.Duration
 	left         float64 // see rank
 }
 
-// rankAge is how long a basis holds while the job makes no progress: estimates
-// move with each run that ends, a little. It saves half of a pass with 400 steps
-// that wait (BenchmarkPass).
+// rankAge is how long a basis is valid while the job makes no progress: estimates
+// move a little with each run that ends. The cache halves the time of a pass with 400
+// waiting steps (BenchmarkPass).
 const rankAge = 250 * time.Millisecond
 
 // basisOf returns the basis of a step's rank, computed anew if it may have changed.
@@ -88,7 +88,7 @@
 	return cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(a.class, b.class), cmp.Compare(a.left, b.left), cmp.Compare(a.slack, b.slack))
 }
 
-// rankOf returns a step's place in the order.
+// rankOf returns a step's rank.
 func (c *Core) rankOf(s *stepRun, q job.Queue, now Instant) rank {
 	r := rank{priority: q.Priority}
 	j := s.job
@@ -113,8 +113,8 @@
 	return r
 }
 
-// partLeft returns the part of the patient work of a job, in one occurrence, that
-// is not done, by the run times expected; what runs counts as half done.
+// remainingShare returns the share of the fill work of a job, in one occurrence, that
+// is not done, by expected run times; tasks that run count as half done.
 func (c *Core) partLeft(s *stepRun) float64 {
 	if !s.spec.Fills {
 		return 0
@@ -132,13 +132,13 @@
 	return left / max(whole, leastWork)
 }
 
-// Figures of partLeft.
+// Constants of remainingShare.
 const (
 	runsHalf  = 0.5
 	leastWork = 1e-9
 )
 
-// active returns how many of the step's tasks run or were ordered to.
+// active returns how many of the step's tasks run or were ordered to start.
 func (s *stepRun) active() int {
 	n := 0
 	for _, t := range s.tasks {
@@ -149,7 +149,7 @@
 	return n
 }
 
-// wholeChain returns the longest chain of work of the whole job.
+// totalCriticalPath returns the length of the critical path of the whole job.
 func (c *Core) wholeChain(j *jobState) time.Duration {
 	ends := make([]time.Duration, len(j.spec.Steps))
 	longest := time.Duration(0)
@@ -165,8 +165,8 @@
 	return longest
 }
 
-// candidates returns the steps with ready tasks in their order, and forgets
-// those that have none.
+// candidates returns the steps with ready tasks in the order of their ranks, and removes
+// those that have none from the open steps.
 func (c *Core) candidates(now Instant) []candidate {
 	list := c.candidateScratch[:0]
 	kept := c.open[:0]
--- a/dispatch/refused.go
+++ b/dispatch/refused.go
@@ -1,25 +1,26 @@
 package dispatch
 
-// shape is what decides whether a worker takes a task of a step: tasks of one
+// shape is what decides whether a worker takes a task of a step: tasks of the same
 // shape are refused by the same workers.
 type shape struct {
 	service  string
 	amount   resources
 	requires string
-	// image and cpu are set for fills: what the model and the spare processor
-	// time of a worker say depends on them.
+	// image and cpu are set for fills: the predictions of the interference model and
+	// the spare processor time of a worker depend on them.
 	image string
 	cpu   int64
 	fills bool
 	view  view
-	// step tells steps apart whose workers take so many of its tasks only.
+	// step is set for a step with a limit of tasks per worker, to tell it from others.
 	step *stepRun
 }
 
-// view is what a step's job makes of workers that others leave alone.
+// view is how a step's job treats restricted workers.
 type view struct {
+	// starved jobs take any capacity; sparesSlow: slow workers are not used.
 	starved, sparesSlow bool
-	// sparesKept: workers that are kept for short tasks are left alone.
+	// sparesKept: workers that are reserved for short tasks are not used.
 	sparesKept bool
 }
 
@@ -34,39 +35,38 @@
 	return x
 }
 
-// opening notes that a worker may take what it refused before. If load is set,
-// only its load has changed, which matters to fills.
+// workerChange records that a worker may take tasks that it refused before. If load is
+// set, only its load has changed, which matters to fills alone.
 type opening struct {
 	worker *worker
 	load   bool
 }
 
-// Figures of what is remembered of refusals.
+// Limits of the record of refusals.
 const (
-	// mostOpenings kept; shapes that were refused before the oldest are tried
-	// at all workers again. A pass at 490 workers has some 20 new ones.
+	// maxWorkerChanges are kept; shapes that were refused before the oldest are tried
+	// at all workers again. A pass at 490 workers adds some 20.
 	mostOpenings = 8192
-	// mostRefusals kept: a shape takes some 150 bytes.
+	// maxRefusedShapes are kept: a shape takes some 150 bytes.
 	mostRefusals = 4096
 )
 
-// refusals remembers which shapes no worker takes, so that a pass looks only at
-// workers that may have changed their mind. Without it, a pass with 400 steps
-// that wait at 490 workers takes 2.5 ms instead of 0.13 (BenchmarkPass), at the time when the
-// owner has most to do.
+// refusals remembers which shapes no worker takes, so that a pass checks only workers
+// that have changed since. Without it, a pass with 400 waiting steps at 490 workers takes
+// 2.5 ms instead of 0.13 (BenchmarkPass), when the owner is busiest.
 //
-// Invariant: a worker that took no task of a shape when the shape was noted,
-// and stands in no opening since, takes none now, but for small changes of the
-// interference model. Those count from the worker's next list.
+// Invariant: a worker that took no task of a shape when the shape was recorded, and is in
+// no change since, takes none now, except for small updates of the interference model.
+// Those take effect from the worker's next list.
 type refusals struct {
 	openings []opening
-	dropped  int // openings that are no longer kept
-	// shapes holds the number of openings that had been seen when no worker
-	// took a task of the shape.
+	dropped  int // changes that are no longer kept
+	// shapes holds, for each shape that no worker took, the number of changes that
+	// had been recorded by then.
 	shapes map[shape]int
 }
 
-// opened notes that a worker may take what it refused.
+// noteChange records that a worker may take what it refused.
 func (r *refusals) opened(w *worker, load bool) {
 	if len(r.openings) >= mostOpenings {
 		half := mostOpenings / 2
@@ -76,7 +76,7 @@
 	r.openings = append(r.openings, opening{w, load})
 }
 
-// note remembers that no worker takes tasks of a shape.
+// noteRefused records that no worker takes tasks of a shape.
 func (r *refusals) note(x shape) {
 	if r.shapes == nil || len(r.shapes) >= mostRefusals {
 		r.shapes = map[shape]int{}
@@ -84,7 +84,7 @@
 	r.shapes[x] = r.dropped + len(r.openings)
 }
 
-// since returns the openings since a shape was refused; ok is false if the
+// changesSince returns the worker changes since a shape was refused; ok is false if the
 // shape must be tried at all workers.
 func (r *refusals) since(x shape) (list []opening, ok bool) {
 	seen, ok := r.shapes[x]
@@ -94,8 +94,8 @@
 	return r.openings[seen-r.dropped:], true
 }
 
-// stillRefused reports whether no worker takes a task of the step, by what is
-// remembered and by a look at the workers that may have changed.
+// stillRefused reports whether no worker takes a task of the step, by the recorded
+// refusals and by a check of the workers that may have changed since.
 func (c *Core) stillRefused(s *stepRun, x shape, now Instant) bool {
 	list, ok := c.refusals.since(x)
 	if !ok {
@@ -115,7 +115,7 @@
 	return true
 }
 
-// noteGates notes the workers of a pool that have come back from a pause.
+// noteReopened records the workers of a pool that a temporary block no longer applies to.
 func (c *Core) noteGates(service string, now Instant) {
 	for _, w := range c.members[service] {
 		g := gates{takesWork: c.inPool(w, service, now), full: now.Steady < w.fullUntil, slow: now.Steady < w.slowUntil}
@@ -126,8 +126,8 @@
 	}
 }
 
-// gates are the reasons for which a worker gets no tasks for a while, as of the
-// newest pass.
+// gates are the temporary states that decide whether a worker gets tasks, as of the
+// latest pass.
 type gates struct {
 	takesWork, full, slow bool
 }
--- a/dispatch/score.go
+++ b/dispatch/score.go
@@ -1,47 +1,49 @@
 package dispatch
 
-// Figures of the choice among workers.
+// Weights and limits of the choice among workers. A worker's score is roughly the share
+// of its processor time that is left; more is better.
 const (
-	// servingUse is the part of their declared processor time that lasting
+	// servingUse is the share of their declared processor time that long-running
 	// tasks use on average.
 	servingUse = 0.55
 	// admitHeadroom is the headroom that must be left for a fill to be
-	// admitted: a task's own load may take 0.5 a second more while it runs.
+	// admitted: a task's own load may take 0.5 more within a second while the fill runs.
 	admitHeadroom = 1.5
-	// doubt is the weight of the model's deviation in admission: of a pair
-	// that was not seen yet one or two fills are tried on a worker.
+	// deviationWeight is the weight of the model's standard deviation in admission: of a
+	// pair that was not seen yet, one or two fills are tried on a worker.
 	doubt = 0.3
-	// openWeight is the weight of a worker's openness to other images.
+	// acceptanceWeight is the weight of a worker's fill acceptance; see rateFillAcceptance.
 	openWeight = 0.5
-	// costWeight is the weight of headroom that a fill is expected to take,
-	// against spare processor time, in the choice of a worker.
+	// costWeight is the weight of the headroom that a fill is expected to take,
+	// relative to spare processor time, in the choice of a worker.
 	costWeight = 1.0
-	// mixWeight is the same of another serving image on a worker, in the
-	// choice for a lasting task.
+	// mixWeight is the weight of another serving image on a worker, in the
+	// choice for a long-running task.
 	mixWeight = 2.0
-	// failWeight is the weight of each failure in a row at a worker after the
-	// first, more than all else that speaks for one: a worker that fails all it
-	// starts is known as such only after three of them, and a second failure may be
-	// a task's last. A single failure says little: tasks fail in 2% to 5% of their
-	// runs, and to leave each such worker to the end costs fills their harmless
-	// places (0.53 instead of 0.58 of the worth of a dense day, 4 and 5 plays).
+	// failWeight is the weight of each consecutive failure at a worker after the
+	// first. It exceeds all other terms: a worker that fails all it starts is
+	// recognized only after three failures, and a second failure may be a task's last.
+	// A single failure says little: tasks fail in 2% to 5% of their runs, and ranking
+	// each such worker last costs fills their harmless places (0.53 instead of 0.58 of
+	// the value of a dense day, 4 and 5 runs).
 	failWeight = 3.0
-	// coldWeight puts a worker that is still cold behind all warm ones, whose
-	// scores differ by less, and before those that are slow or fail: a data centre
-	// that is taken back gets what the others can't take until it is warm.
+	// coldWeight ranks a worker that is still cold behind all warm ones, whose scores
+	// differ by less, and before those that are slow or fail: a data centre that returns
+	// to service gets what the others can't take until it is warm.
 	coldWeight = 2.5
-	// harmlessCost of headroom does not keep a fill out.
+	// harmlessCost is the headroom up to which a fill is admitted regardless of what is left.
 	harmlessCost = 0.1
 )
 
 // spareCPU is the processor time that a worker's tasks are expected to leave,
-// over the worker's size.
+// as a share of the worker's size.
 func (w *worker) spareCPU() float64 {
 	size := float64(max(w.info.CPUMilli, 1))
 	return 1 - (servingUse*float64(w.lasting.cpu)+w.load.otherCPU+w.load.fillCPU)/size
 }
 
-// score rates a worker for one more task of the step; more is better.
+// score rates a worker for one more task of the step; more is better. It is false if the
+// worker takes none.
 func (c *Core) score(s *stepRun, w *worker, starved bool) (float64, bool) {
 	score := 0.0
 	if s.spec.DataRack != "" && s.spec.DataRack != w.info.Rack {
@@ -58,8 +60,8 @@
 	}
 }
 
-// scoreFill rates a worker by the processor time that it leaves and by the
-// headroom that the fill would take of the tasks there.
+// scoreFill rates a worker for a fill by the processor time that the worker leaves and by
+// the headroom that the fill would take of the tasks there.
 func (c *Core) scoreFill(s *stepRun, w *worker, starved bool) (float64, bool) {
 	size := float64(max(w.info.CPUMilli, 1))
 	add := float64(s.spec.CPUMilli) / size
@@ -80,14 +82,14 @@
 	return spare - costWeight*most - openWeight*w.openness, true
 }
 
-// tooLongOver reports whether a task there was over its target for so long that
-// its fills are halted: new ones would work until the next list is read.
+// overTargetTooLong reports whether a task there has been over its target for so long that
+// the worker's fills are halted: new ones would work until the next list is read.
 func (c *Core) tooLongOver(w *worker) bool {
 	return w.over > 0 && w.over >= c.shareOfOver(haltAfter)
 }
 
-// scoreLasting packs lasting tasks, each image beside its like only, so that
-// each worker's fills have few images to spare and some workers have none.
+// scoreLongRunning packs long-running tasks, each image beside tasks of the same image, so
+// that each worker's fills affect few images and some workers have none.
 func (c *Core) scoreLasting(s *stepRun, w *worker) float64 {
 	size := float64(max(w.info.CPUMilli, 1))
 	score := float64(w.used.cpu) / size
