--- a/dispatch/budget_test.go
+++ b/dispatch/budget_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Where headroom does not last for all, the job that is due first gets it, and a fill that
-// stays halted waits in line again.
+// Where headroom does not suffice for all fills, the job that is due first gets it, and a fill
+// that stays halted is queued again.
 func TestHeadroomGoesToTheJobThatIsDueFirst(t *testing.T) {
 	now := Instant{Steady: 20 * time.Second, UnixMS: 20_000}
 	core := sureCore(Params{}, 1, now)
@@ -39,6 +39,6 @@
 		}
 	}
 	if !later.stopping || calm.stopping {
-		t.Errorf("after %v at pace 0 stopped: %v; a fill that takes nothing: %v", 2*requeueAfter, later.stopping, calm.stopping)
+		t.Errorf("after %v at pace 0 stopped: %v; a fill that takes no headroom: %v", 2*requeueAfter, later.stopping, calm.stopping)
 	}
 }
--- a/dispatch/eligible_test.go
+++ b/dispatch/eligible_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// TestWorkersBehindABarrierGetNothing: each reason alone keeps new tasks off a worker, plain ones
+// TestExcludedWorkersGetNoTasks: each exclusion alone keeps new tasks off a worker, single ones
 // as well as gangs.
 func TestWorkersBehindABarrierGetNothing(t *testing.T) {
-	for barred, close := range map[barrier]func(core *Core, w *worker, now Instant){
+	for want, exclude := range map[barrier]func(core *Core, w *worker, now Instant){
 		barrierNone:     func(*Core, *worker, Instant) {},
 		barrierUnlisted: func(core *Core, w *worker, _ Instant) { w.listed = false },
 		barrierOver:     func(_ *Core, w *worker, _ Instant) { w.overReason = "test" },
@@ -35,16 +35,16 @@
 		for _, gang := range []bool{false, true} {
 			core, now := idleCore(t, 1)
 			w := core.workers["w0"]
-			close(core, w, now)
-			if got := core.barrierOf(w, now); got != barred {
-				t.Errorf("%v: the barrier is %v", barred, got)
+			exclude(core, w, now)
+			if got := core.barrierOf(w, now); got != want {
+				t.Errorf("%v: the exclusion is %v", want, got)
 			}
 			spec := simpleJob(1, 2)
 			spec.Steps[0].Gang = gang
 			core.AddJob(spec, nil, false, now)
 			core.Schedule(now)
-			if n := len(starts(core)); n != 0 && barred != barrierNone || n != 2 && barred == barrierNone {
-				t.Errorf("%v, gang %v: %d starts", barred, gang, n)
+			if n := len(starts(core)); n != 0 && want != barrierNone || n != 2 && want == barrierNone {
+				t.Errorf("%v, gang %v: %d starts", want, gang, n)
 			}
 		}
 	}
--- a/dispatch/interference_test.go
+++ b/dispatch/interference_test.go
@@ -9,8 +9,8 @@
 	"leverstile.dev/job"
 )
 
-// bedside is a worker with serving tasks whose own loads swing, and fills that
-// come and go, as recorded days show: tail = unloaded / (1 - load - pressure).
+// pairSim simulates a worker with serving tasks whose own loads swing, and fills that
+// start and end, as on recorded days: tail = unloaded / (1 - load - pressure).
 type bedside struct {
 	rng   *rand.Rand
 	truth map[string]float64 // utilization added by an image, over its share of the worker
@@ -43,8 +43,8 @@
 	return list
 }
 
-// The tasks' own loads swing by more than a single pair adds, and must not be
-// taken for the work of what runs beside them.
+// Guards against attributing swings of the serving tasks' own loads, which exceed the effect of
+// any single pair, to the fills beside them.
 func TestPairsAreFoundDespiteSwingsOfLoad(t *testing.T) {
 	m := newInterference()
 	b := &bedside{rng: rand.New(rand.NewPCG(1, 2)), truth: map[string]float64{"loud": 1.2, "calm": 0.02, "soft": 0.15}, phase: []float64{0, 1, 2.5, 4, 5.5}}
@@ -68,6 +68,7 @@
 	}
 }
 
+// Images with equal pressures are left out, and those that only one side has are included.
 func TestDifferenceOfPressures(t *testing.T) {
 	d := difference([]pressure{{"a", 0.2}, {"b", 0.1}}, []pressure{{"b", 0.1}, {"c", 0.3}})
 	if len(d) != 2 || d[0] != (pressure{"a", 0.2}) || d[1] != (pressure{"c", -0.3}) {
@@ -75,7 +76,7 @@
 	}
 }
 
-// A fill that is known to hurt waits for a worker where it does not.
+// Guards against admitting a fill that is known to hurt to a worker without headroom for it.
 func TestFillsGoWhereHeadroomIsLeft(t *testing.T) {
 	core := sureCore(Params{}, 1, Instant{})
 	w := core.addWorker(WorkerInfo{CPUMilli: 16000, MemoryMiB: 64000}, Instant{})
@@ -88,12 +89,12 @@
 		}
 	}
 	if _, ok := core.scoreFill(s, w, true); !ok {
-		t.Error("a starved job is not placed")
+		t.Error("a fill of a starved job is not admitted")
 	}
 }
 
-// A worker whose tasks were over their targets for long went on getting fills, each of which
-// worked until the next list was read.
+// Guards against new fills on a worker whose tasks have been over their targets for long, each of
+// which would work until the next list is read.
 func TestNoFillsBesideTasksOverTheirTarget(t *testing.T) {
 	core := sureCore(Params{OverTarget: 4 * time.Second}, 1, Instant{})
 	w := core.addWorker(WorkerInfo{CPUMilli: 16000, MemoryMiB: 64000}, Instant{})
--- a/dispatch/keep_test.go
+++ b/dispatch/keep_test.go
@@ -8,13 +8,13 @@
 	"leverstile.dev/job"
 )
 
-// crowdedDay is what customers got on a day whose lasting jobs want more than
-// there is.
+// crowdedDay is the result for customers of a day whose long-running jobs want more capacity
+// than there is.
 type crowdedDay struct {
 	urgent, onTime              int
 	lasting, refused            int
 	shortestRetry, longestRetry time.Duration
-	// tasks counts accepted lasting tasks over the samples, atWork those that ran.
+	// tasks counts accepted long-running tasks over the samples, atWork those that ran.
 	tasks, atWork int
 }
 
@@ -22,10 +22,9 @@
 // its tasks take up to 2.7 s.
 const urgentWithin = 3500 * time.Millisecond
 
-// crowdedSim plays a crowded day: lasting jobs fill four fifths of 40 workers of
-// 4 cores before the first urgent job comes, and then more of them come than
-// leave. An urgent job needs two pieces of half a worker, some 6% of the pool in
-// all.
+// crowdedSim simulates a crowded day: long-running jobs fill four fifths of 40 workers of
+// 4 cores before the first urgent job arrives, and then more of them arrive than
+// end. An urgent job needs twice half a worker; all of them need some 6% of the pool.
 type crowdedSim struct {
 	*sim
 	day     crowdedDay
@@ -61,7 +60,7 @@
 	return c.day
 }
 
-// handIn submits a job as an entry does that asks for its admission.
+// submitAdmitted submits a job if the owner admits it, as an entry does.
 func (c *crowdedSim) handIn(spec *job.Spec) bool {
 	spec.AcceptedMS = c.now.Milliseconds()
 	a := c.owner.core.Admit(spec, c.instant())
@@ -97,7 +96,7 @@
 }
 
 // sample counts the urgent jobs that have ended in time, and the accepted
-// lasting tasks that run.
+// long-running tasks that run.
 func (c *crowdedSim) sample() {
 	for id, due := range c.due {
 		if state, _ := c.owner.core.Status(id); state == job.Succeeded {
@@ -119,29 +118,29 @@
 	}
 }
 
-// TestUrgentJobsFindRoomBesideLastingOnes: where lasting jobs would take all there is, urgent
-// ones still end in time, lasting jobs that were accepted run, and those that find no room are
-// told so at once, with a time to come back.
+// TestUrgentJobsRunBesideLongRunningOnes: where long-running jobs would take all capacity, urgent
+// jobs still end in time, accepted long-running jobs run, and those without capacity are
+// refused at once, with a time to retry.
 func TestUrgentJobsFindRoomBesideLastingOnes(t *testing.T) {
 	for seed := range uint64(3) {
 		d := playCrowdedDay(seed)
 		atWork := float64(d.atWork) / float64(d.tasks)
-		t.Logf("seed %d: %d of %d urgent jobs on time; %d of %d lasting jobs refused, asked back after %v to %v; of the others %.2f at work",
+		t.Logf("seed %d: %d of %d urgent jobs on time; %d of %d long-running jobs refused, with a retry after %v to %v; of the others %.2f at work",
 			seed, d.onTime, d.urgent, d.refused, d.lasting, d.shortestRetry, d.longestRetry, atWork)
 		if d.onTime < d.urgent-1 {
 			t.Errorf("seed %d: %d of %d urgent jobs on time", seed, d.onTime, d.urgent)
 		}
 		if atWork < 0.9 {
-			t.Errorf("seed %d: %.2f of the accepted lasting tasks at work", seed, atWork)
+			t.Errorf("seed %d: %.2f of the accepted long-running tasks at work", seed, atWork)
 		}
 		if d.refused > 0 && (d.shortestRetry < retryLeast || d.longestRetry > retryMost) {
-			t.Errorf("seed %d: asked back after %v to %v", seed, d.shortestRetry, d.longestRetry)
+			t.Errorf("seed %d: retry after %v to %v", seed, d.shortestRetry, d.longestRetry)
 		}
 	}
 }
 
-// keptCore is a core with idle workers of 4 cores, short tasks of 1 core that
-// hold and wait for half of one worker in eight, and the workers chosen for them.
+// reservingCore returns a core with idle workers of 4 cores, short tasks of 1 core that
+// hold and wait for half of one worker in eight, and the workers reserved for them.
 func keptCore(t *testing.T, workers int) (*Core, Instant) {
 	t.Helper()
 	core, now := idleCore(t, workers)
@@ -167,12 +166,12 @@
 	return n
 }
 
-// TestKeptRoomFollowsDemand: as much is kept as short tasks need, at most three tenths of the
-// pool, and none once they have gone.
+// TestReservedCapacityFollowsDemand: as much is reserved as short tasks need, at most three tenths
+// of the pool, and nothing once they have gone.
 func TestKeptRoomFollowsDemand(t *testing.T) {
 	core, now := keptCore(t, 40)
 	if n := core.keptWorkers(); n < 5 || n > 12 {
-		t.Errorf("%d of 40 workers are kept for tasks that need 5", n)
+		t.Errorf("%d of 40 workers are reserved for tasks that need 5", n)
 	}
 	core.Cancel(simpleJob(90, 1).ID, now)
 	for _, w := range core.order {
@@ -185,25 +184,25 @@
 		core.Tick(now)
 	}
 	if n := core.keptWorkers(); n != 0 {
-		t.Errorf("%d workers are kept two minutes after the last short task", n)
+		t.Errorf("%d workers are reserved two minutes after the last short task", n)
 	}
 }
 
-// TestSmallPoolKeepsNothing: with one worker, or two, a lasting job would never run.
+// TestSmallPoolReservesNothing: with one worker, or two, a long-running job would never run.
 func TestSmallPoolKeepsNothing(t *testing.T) {
 	for workers := 1; workers <= 3; workers++ {
 		core, now := keptCore(t, workers)
 		if n := core.keptWorkers(); n != 0 {
-			t.Errorf("%d of %d workers are kept", n, workers)
+			t.Errorf("%d of %d workers are reserved", n, workers)
 		}
 		if a := core.Admit(lastingJob(1, 1), now); a.Refused {
-			t.Errorf("%d workers: a lasting job is refused: %s", workers, a.Reason)
+			t.Errorf("%d workers: a long-running job is refused: %s", workers, a.Reason)
 		}
 	}
 }
 
-// TestLastingTasksLeaveKeptRoom, but not for ever: a job that has nothing running takes it, and
-// a task that has waited long.
+// TestLongRunningTasksAvoidReservedCapacity, but not permanently: a job that has nothing running
+// takes it, and a task that has waited long.
 func TestLastingTasksLeaveKeptRoom(t *testing.T) {
 	core, now := keptCore(t, 40)
 	free := 0
@@ -215,22 +214,22 @@
 	core.AddJob(lastingJob(1, free), nil, false, now)
 	core.Schedule(now)
 	if n := len(starts(core)); n != free {
-		t.Fatalf("%d lasting tasks start on workers that are not kept, of %d with room", n, free)
+		t.Fatalf("%d long-running tasks start on workers that are not reserved, of %d that fit", n, free)
 	}
 	core.AddJob(lastingJob(2, 4), nil, false, now)
 	core.Schedule(now)
 	if n := len(starts(core)); n != 0 {
-		t.Fatalf("%d lasting tasks take kept room at once", n)
+		t.Fatalf("%d long-running tasks take reserved capacity at once", n)
 	}
 	now.Steady += keptFromIdle + time.Millisecond
 	core.Schedule(now)
 	if n := len(starts(core)); n == 0 {
-		t.Error("a job with nothing running waits on beside kept room")
+		t.Error("a job with nothing running still waits although reserved capacity is free")
 	}
 }
 
-// TestUrgentLastingTasksTakeKeptRoom: room is not kept from a queue that goes before all short
-// tasks.
+// TestUrgentLongRunningTasksTakeReservedCapacity: capacity is not reserved from a queue that goes
+// before all short tasks.
 func TestUrgentLastingTasksTakeKeptRoom(t *testing.T) {
 	core, now := keptCore(t, 40)
 	config := *core.config
@@ -241,12 +240,12 @@
 	spec.Queue = "first"
 	core.AddJob(spec, nil, false, now)
 	if s := core.jobs[spec.ID].steps[0]; core.sparesKept(s, now) {
-		t.Error("it leaves room to less urgent tasks")
+		t.Error("it leaves reserved capacity to less urgent tasks")
 	}
 }
 
-// TestKeptWorkersAreClearedWithinWhatStepsMayMiss: while short tasks wait, lasting ones are moved
-// off kept workers, of each step no more than it may miss at a time.
+// TestClearingRespectsMaxAway: while short tasks wait, long-running ones are moved off reserved
+// workers, of each step no more at a time than may be unavailable.
 func TestKeptWorkersAreClearedWithinWhatStepsMayMiss(t *testing.T) {
 	core, now := idleCore(t, 8)
 	spec := lastingJob(1, 16)
@@ -269,17 +268,17 @@
 	now.Steady += clearAfter + time.Millisecond
 	core.clearKept("svc", k, now)
 	if n := stops(core); n != 2 {
-		t.Errorf("%d tasks are stopped of a step that may miss 2", n)
+		t.Errorf("%d tasks are stopped of a step of which 2 may be unavailable", n)
 	}
 	now.Steady += clearPause + time.Millisecond
 	core.clearKept("svc", k, now)
 	if n := stops(core); n != 0 {
-		t.Errorf("%d more are stopped while those are away", n)
+		t.Errorf("%d more are stopped while those are unavailable", n)
 	}
 }
 
-// TestNothingIsKeptForTasksThatNoWorkerTakes: a job whose tasks are larger than any worker, or
-// need a label that none has, must not hold lasting tasks off.
+// TestNothingIsReservedForTasksThatFitNoWorker: a job whose tasks are larger than any worker, or
+// need a label that none has, must not keep long-running tasks from starting.
 func TestNothingIsKeptForTasksThatNoWorkerTakes(t *testing.T) {
 	for name, change := range map[string]func(s *job.Step){
 		"too large": func(s *job.Step) { s.CPUMilli = 1_000_000 },
@@ -288,7 +287,7 @@
 	} {
 		core, now := idleCore(t, 40)
 		core.Tick(now)
-		core.AddJob(simpleJob(1, 1), nil, false, now) // short tasks are known
+		core.AddJob(simpleJob(1, 1), nil, false, now) // the core has a record of short tasks
 		now.Steady += keepPause
 		core.Tick(now)
 		spec := simpleJob(2, 50)
@@ -300,7 +299,7 @@
 			core.Tick(now)
 		}
 		if k := core.keptOf("svc"); k.waiting != 0 || core.keptWorkers() > 1 {
-			t.Errorf("%s: %d workers are kept, %d thousandths of a core waited for", name, core.keptWorkers(), k.waiting)
+			t.Errorf("%s: %d workers are reserved, %d thousandths of a core waited for", name, core.keptWorkers(), k.waiting)
 		}
 	}
 }
--- a/dispatch/place_test.go
+++ b/dispatch/place_test.go
@@ -11,14 +11,14 @@
 	"leverstile.dev/job"
 )
 
-// Fixed seeds, so that each run gives the same verdict; -rapid.seed sets others.
+// Fixed seeds make each run deterministic; -rapid.seed sets another.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
 }
 
-// TestChooserAgreesWithPlainWalk: the workers chosen one after the other are
-// those that a walk over the whole pool for each task would choose.
+// TestChooserMatchesFullScan guards against a chooser whose reused ratings give other workers
+// than a scan of the whole pool for each task.
 func TestChooserAgreesWithPlainWalk(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := Instant{Steady: time.Minute}
@@ -54,7 +54,7 @@
 			}
 			want, got := c.choose(task, workers, v, now), x.best(task.avoid)
 			if want != got {
-				t.Fatalf("task %d: %v, the plain walk chooses %v", task.index, idOf(got), idOf(want))
+				t.Fatalf("task %d: worker %v, the full scan chooses %v", task.index, idOf(got), idOf(want))
 			}
 			if got == nil {
 				return
@@ -72,7 +72,7 @@
 	return w.info.ID
 }
 
-// missed returns a task that a plain walk over all workers would place now.
+// missed returns a task that a scan of all workers would place now.
 func (c *Core) missed(now Instant) *task {
 	for _, x := range c.candidates(now) {
 		if !c.overload.starts(x.step) {
@@ -85,8 +85,8 @@
 				continue
 			}
 			if t.suspicion() > 0 {
-				// It waits for a worker apart from other suspects, as placeApart says, and is tried
-				// again after apartRetry.
+				// It waits for a worker apart from other suspects, as placeApart chooses it, and is
+				// tried again after apartRetry.
 				if w, _ := c.placeApart(t, &pool{workers: workers}, now); w != nil && c.suspectWaits(t, now) == "" && now.Steady >= x.step.apartRetry {
 					return t
 				}
@@ -100,9 +100,9 @@
 	return nil
 }
 
-// TestPassMissesNoRoom: while jobs of many shapes wait in a full pool and
-// workers crash, are cut off, refuse and come back, a pass leaves no task
-// waiting that a walk over all workers would place.
+// TestPassMissesNoCapacity guards against a pass that leaves a task waiting which a scan of all
+// workers would place, while jobs of many shapes wait in a full pool and workers crash,
+// are disconnected, refuse work and return.
 func TestPassMissesNoRoom(t *testing.T) {
 	waited := 0
 	for seed := range uint64(12) {
@@ -121,7 +121,7 @@
 				c.Schedule(now)
 				waited += len(c.candidates(now))
 				if m := c.missed(now); m != nil {
-					t.Fatalf("seed %d, %v: task %s waits though there is room", seed, s.now, m.id())
+					t.Fatalf("seed %d, %v: task %s waits though a worker has capacity", seed, s.now, m.id())
 				}
 				s.dispatch(s.owner)
 			}
@@ -136,7 +136,7 @@
 	}
 }
 
-// manyShaped is a job whose tasks have a size of their own.
+// manyShaped returns a job whose tasks have a size of their own.
 func manyShaped(id, extra int) *job.Spec {
 	spec := simpleJob(id, 2)
 	spec.Steps[0].CPUMilli = int64(600 + extra)
--- a/dispatch/places_test.go
+++ b/dispatch/places_test.go
@@ -9,12 +9,12 @@
 	"leverstile.dev/job"
 )
 
-// listEnds has a worker list these ends, and nothing that runs.
+// listEnds has a worker list these ended tasks, and no running ones.
 func listEnds(core *Core, id WorkerID, clock int64, now Instant, ended ...EndedTask) {
 	core.HoldDone(HoldOrder{Worker: id}, HoldReply{ClockMS: clock, Ended: ended}, OutcomeOK, now)
 }
 
-// placesOf returns which workers starts go to, sorted.
+// placesOf returns the workers of these start orders, sorted.
 func placesOf(list []Order) string {
 	places := make([]string, len(list))
 	for i, o := range list {
@@ -24,7 +24,7 @@
 	return fmt.Sprint(places)
 }
 
-// TestGangsGoWhereTheyMay: label and spread hold for the members of a gang.
+// TestGangRespectsLabelAndSpread: the label and the limit per worker apply to gang members.
 func TestGangsGoWhereTheyMay(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(s *job.Step)
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestGangAwaitsRoomForItsSpread: a gang that its spread keeps from starting whole does not
-// start at all.
+// TestGangAwaitsCapacityForItsSpread: a gang that its limit per worker keeps from starting whole
+// does not start at all.
 func TestGangAwaitsRoomForItsSpread(t *testing.T) {
 	core, now := idleCore(t, 2)
 	spec := simpleJob(1, 3)
@@ -58,8 +58,8 @@
 	}
 }
 
-// TestStoppedTaskKeepsItsPlace: until the end of a stopped run is listed, it takes its room and
-// its place among its like.
+// TestStoppedTaskKeepsItsPlace: until the end of a stopped run is listed, the run counts towards
+// the worker's capacity and the step's limit per worker.
 func TestStoppedTaskKeepsItsPlace(t *testing.T) {
 	for name, change := range map[string]func(s *job.Step){
 		"spread":       func(s *job.Step) { s.MaxPerWorker = 1 },
@@ -88,12 +88,13 @@
 		now.Steady += 100 * time.Millisecond
 		core.Schedule(now)
 		if again := starts(core); len(again) != 1 {
-			t.Errorf("%s: %d starts after the end, want 1", name, len(again))
+			t.Errorf("%s: %d starts after the end is listed, want 1", name, len(again))
 		}
 	}
 }
 
-// TestAdoptedRunsTakeTheirPlace: runs that the previous owner started count for room and spread.
+// TestAdoptedRunsTakeTheirPlace: runs that the previous owner started count towards the worker's
+// capacity and the step's limit per worker.
 func TestAdoptedRunsTakeTheirPlace(t *testing.T) {
 	for name, change := range map[string]func(s *job.Step){
 		"spread": func(s *job.Step) { s.MaxPerWorker = 1 },
@@ -119,8 +120,8 @@
 	}
 }
 
-// TestStepsWaitWithinTheirTime: of a repeated job, a step waits for the earlier ones of the same
-// time, not of another.
+// TestStepsWaitWithinTheirOccurrence: in a repeated job, a step waits for the earlier steps of its
+// own occurrence, not of another.
 func TestStepsWaitWithinTheirTime(t *testing.T) {
 	core, now := idleCore(t, 1)
 	spec := simpleJob(1, 1, 1)
@@ -130,13 +131,13 @@
 		core.Schedule(now)
 		for _, o := range starts(core) {
 			if want := (job.TaskID{Job: spec.ID, Occurrence: 1, Step: 1}); round > 0 && o.Task != want {
-				t.Errorf("task %s starts after step 0 of time 1, want %s", o.Task, want)
+				t.Errorf("task %s starts after step 0 of occurrence 1, want %s", o.Task, want)
 			}
 			core.OrderDone(o, Answer{Outcome: OutcomeOK, ClockMS: 1001}, now)
 		}
 		first := core.findTask(job.TaskID{Job: spec.ID, Occurrence: occurrence})
 		if first.attempt == nil {
-			t.Fatalf("step 0 of time %d does not run", occurrence)
+			t.Fatalf("step 0 of occurrence %d does not run", occurrence)
 		}
 		now.Steady += 100 * time.Millisecond
 		core.takeEnd(core.workers["w0"], &EndedTask{Number: uint64(round + 1), Task: first.id(), Run: first.attempt.run, Kind: EndDone}, now)
@@ -144,6 +145,6 @@
 	core.Schedule(now)
 	list := starts(core)
 	if want := (job.TaskID{Job: spec.ID, Step: 1}); len(list) != 1 || list[0].Task != want {
-		t.Errorf("after step 0 of time 0: %+v, want a start of %s", list, want)
+		t.Errorf("after step 0 of occurrence 0: %+v, want a start of %s", list, want)
 	}
 }
--- a/dispatch/rank_test.go
+++ b/dispatch/rank_test.go
@@ -7,8 +7,8 @@
 	"leverstile.dev/job"
 )
 
-// A lasting task that has waited for long took each piece of room that became free, and
-// urgent tasks that end within a second starved.
+// Guards against long-running tasks that have waited for long taking all capacity that becomes
+// free, so that urgent tasks that end within a second starve.
 func TestShortTasksOnTimeGoBeforeLastingOnes(t *testing.T) {
 	now := Instant{Steady: 20 * time.Second, UnixMS: 20_000}
 	core := sureCore(Params{}, 1, now)
@@ -26,7 +26,7 @@
 	want := []*stepRun{sooner, soon, lasting, late, hopeless}
 	for i, c := range core.candidates(now) {
 		if c.step != want[i] {
-			t.Errorf("place %d is taken by job %s, want %s", i, c.step.job.spec.ID, want[i].job.spec.ID)
+			t.Errorf("rank %d is job %s, want %s", i, c.step.job.spec.ID, want[i].job.spec.ID)
 		}
 	}
 }
--- a/dispatch/room_test.go
+++ b/dispatch/room_test.go
@@ -7,8 +7,8 @@
 	"leverstile.dev/job"
 )
 
-// roomFleet is one worker that does not guard its room, and a core whose list of workers
-// names it.
+// capacityFleet is one worker, in a service that may not check its capacity itself, and a core
+// whose list of workers has it.
 type roomFleet struct {
 	core *Core
 	now  Instant
@@ -29,7 +29,8 @@
 
 func (f *roomFleet) list() { f.core.SetWorkers([]WorkerInfo{f.info}, f.now) }
 
-// starts lets a moment pass and has all orders answered.
+// starts advances the time by 20 ms, schedules, and has all orders answered; it returns the
+// number of starts.
 func (f *roomFleet) starts() int {
 	n := 0
 	f.now.Steady += 20 * time.Millisecond
@@ -43,7 +44,7 @@
 	return n
 }
 
-// end has the worker list the end of an attempt.
+// end has the worker list the end of an attempt, and its other attempts as running.
 func (f *roomFleet) end(a *attempt, number uint64) {
 	w := a.worker
 	reply := HoldReply{ClockMS: f.now.Steady.Milliseconds(), Ended: []EndedTask{{Number: number, Task: a.task.id(), Run: a.run, Kind: EndStopped}}}
@@ -55,14 +56,14 @@
 	f.core.HoldDone(f.core.PlanHold("w1", f.now).Order, reply, OutcomeOK, f.now)
 }
 
-// TestShrunkAndGrownRoom: a start never brings a worker over the room that it lists, what is
-// being stopped included; room that has grown is used at once.
+// TestShrunkAndGrownCapacity: a start never exceeds the capacity that a worker lists, including
+// runs that are being stopped; capacity that has grown is used at once.
 func TestShrunkAndGrownRoom(t *testing.T) {
 	f := newRoomFleet(t, true)
 	spec := simpleJob(1, 20) // each task takes 500
 	f.core.AddJob(spec, nil, false, f.now)
 	if n := f.starts(); n != 8 {
-		t.Fatalf("%d starts in a room for 8", n)
+		t.Fatalf("%d starts with capacity for 8", n)
 	}
 	f.info.CPUMilli = 2000
 	f.list()
@@ -71,31 +72,31 @@
 		a := w.attempts[0]
 		f.core.stop(a, "test", f.now)
 		if n := f.starts(); n != 0 {
-			t.Fatalf("%d starts while a worker has %d runs, one being stopped, in a room for 4", n, len(w.attempts))
+			t.Fatalf("%d starts while a worker has %d runs, one being stopped, with capacity for 4", n, len(w.attempts))
 		}
 		f.end(a, number)
 		if n := f.starts(); n != 0 {
-			t.Fatalf("%d starts while a worker has %d runs in a room for 4", n, len(w.attempts))
+			t.Fatalf("%d starts while a worker has %d runs with capacity for 4", n, len(w.attempts))
 		}
 	}
 	a := w.attempts[0]
 	f.core.stop(a, "test", f.now)
 	if n := f.starts(); n != 0 {
-		t.Errorf("%d starts while the run that makes room is being stopped", n)
+		t.Errorf("%d starts while the run whose capacity is needed is being stopped", n)
 	}
 	f.end(a, 5)
 	if n := f.starts(); n != 1 {
-		t.Errorf("%d starts once there is room for one", n)
+		t.Errorf("%d starts once there is capacity for one", n)
 	}
 	f.info.CPUMilli = 5000
 	f.list()
 	if n := f.starts(); n != 6 {
-		t.Errorf("%d starts after the room has grown by 6", n)
+		t.Errorf("%d starts after the capacity has grown by 6", n)
 	}
 }
 
-// TestOldListOfUnguardedRoom: room may have shrunk since the list was read. A worker that
-// guards its room refuses what does not fit.
+// TestStaleListOfUnguardedCapacity: capacity may have shrunk since the list was read. A worker
+// that checks its own capacity refuses what does not fit; others get nothing by a stale list.
 func TestOldListOfUnguardedRoom(t *testing.T) {
 	for _, unguarded := range []bool{false, true} {
 		f := newRoomFleet(t, unguarded)
@@ -119,8 +120,8 @@
 	}
 }
 
-// TestKeptRoomOfShrunkWorkers: a worker that has shrunk below what its lasting tasks take
-// leaves nothing to short ones, and takes nothing from what others leave.
+// TestReservedCapacityOfShrunkWorkers: a worker that has shrunk below what its long-running tasks
+// take leaves nothing to short tasks, and reduces nothing of what others leave.
 func TestKeptRoomOfShrunkWorkers(t *testing.T) {
 	w := &worker{info: WorkerInfo{CPUMilli: 2000}, lasting: resources{cpu: 5000}}
 	if free := w.freeOfLasting(); free != 0 {
--- a/dispatch/speed_test.go
+++ b/dispatch/speed_test.go
@@ -8,7 +8,7 @@
 	"leverstile.dev/job"
 )
 
-// speedCase is a core with one step of tasks, one on each of several workers.
+// speedCase is a core with one step, whose tasks run one on each of several workers.
 type speedCase struct {
 	core *Core
 	now  Instant
@@ -42,7 +42,7 @@
 	return s
 }
 
-// run lists each task's progress, told by its index and the time since its
+// run lists each task's progress, as a function of its index and the time since its
 // start, every half second; it returns the orders.
 func (s *speedCase) run(d time.Duration, progress func(index int, since time.Duration) int) []Order {
 	var orders []Order
@@ -64,8 +64,8 @@
 
 func percentOf(since, whole time.Duration) int { return int(100 * since / whole) }
 
-// A task that stands still, or works at a fraction of its fellows' speed, moves
-// to another worker, and its worker gets nothing new for a while.
+// A task that stands still, or works at a fraction of the speed of its step's other tasks, moves
+// to another worker, and its worker gets no new tasks for a while.
 func TestTasksLeaveSlowWorkers(t *testing.T) {
 	for name, slow := range map[string]func(since time.Duration) int{
 		"stands still": func(time.Duration) int { return 3 },
@@ -83,14 +83,14 @@
 				t.Fatalf("orders: %v", orders)
 			}
 			if w := s.core.workers[orders[0].Worker]; s.now.Steady >= w.slowUntil {
-				t.Error("the slow worker takes work")
+				t.Error("the slow worker gets new tasks")
 			}
 		})
 	}
 }
 
-// What is slow for another reason stays: all tasks of the step alike, a fill that
-// gets little processor time, a run that reads its checkpoint.
+// Guards against moving tasks that are slow for a reason other than their worker: all tasks of the
+// step alike, a fill that gets little processor time, a run that reads its checkpoint.
 func TestTasksStayThatAreSlowEverywhere(t *testing.T) {
 	for name, x := range map[string]struct {
 		step     job.Step
@@ -128,8 +128,8 @@
 	}
 }
 
-// Room at a worker that counts as slow must serve lasting tasks, and jobs that have nothing
-// running, if there is none elsewhere.
+// Capacity of a worker that counts as slow must serve long-running tasks, and jobs that have
+// nothing running, if there is none elsewhere.
 func TestSlowWorkersServeWhatHasNoOtherPlace(t *testing.T) {
 	now := Instant{Steady: time.Minute}
 	core := sureCore(Params{}, 1, now)
--- a/dispatch/unsurepace_test.go
+++ b/dispatch/unsurepace_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// pacesFor lets a worker list one run for a while, and returns the paces that are
+// pacesFor has a worker list one run for a while, and returns the paces that are
 // ordered, each answered at once.
 func pacesFor(core *Core, row RunningTask, from, to time.Duration) []int {
 	var paces []int
@@ -42,24 +42,20 @@
 	return core, row, work.attempt
 }
 
-// TestAdoptedRunIsToldItsPace: the previous owner may have slowed a run that is adopted,
-// down to a standstill; no list tells of it.
-//
-// Users would see a batch task stand still after a takeover for as long as nothing
-// that serves is near it: the new owner takes its pace for the full one.
+// TestAdoptedRunIsSentItsPace: the previous owner may have slowed an adopted run, down to a
+// standstill, and lists don't show the pace. If the new owner assumed the full pace, a fill
+// would stand still after a takeover as long as no serving task is near it.
 func TestAdoptedRunIsToldItsPace(t *testing.T) {
 	now := Instant{Steady: time.Second}
 	core, row, _ := fillCore(t, now)
 	if paces := pacesFor(core, row, 1200*time.Millisecond, 5*time.Second); len(paces) == 0 {
-		t.Error("the worker was told no pace")
+		t.Error("the worker was sent no pace")
 	}
 }
 
-// TestUnansweredPaceIsOverruled: an order of a pace that was left unanswered may be
-// carried out seconds later, after newer ones; the newest pace is told once more when
-// that can no longer be.
-//
-// Users would see a batch task stand still on a day when workers carry orders out late.
+// TestUnansweredPaceIsOverridden: an unanswered pace order may be carried out seconds later, after
+// newer ones, and leave a fill halted where workers carry orders out late. The newest pace is
+// sent once more when that can no longer happen.
 func TestUnansweredPaceIsOverruled(t *testing.T) {
 	now := Instant{Steady: time.Second}
 	core, row, a := fillCore(t, now)
@@ -70,15 +66,13 @@
 	first := pacesFor(core, row, 1600*time.Millisecond, 2*time.Second)
 	later := pacesFor(core, row, 2*time.Second, 12*time.Second)
 	if len(first) == 0 || len(later) == 0 {
-		t.Errorf("paces told at once %v, later %v", first, later)
+		t.Errorf("paces sent at once %v, later %v", first, later)
 	}
 }
 
-// TestAdoptedFillCountsAsLoad: a fill of the previous owner whose pace is not known counts
-// as working: it may be at its full pace.
-//
-// Users would see, for the first second or two after a takeover, tasks that serve placed
-// beside fills as if those used nothing, and be over their targets.
+// TestAdoptedFillCountsAsLoad: an adopted fill whose pace is unknown counts as running at its full
+// pace. Otherwise, for a second or two after a takeover, serving tasks would be placed beside
+// fills that count as unused, and exceed their targets.
 func TestAdoptedFillCountsAsLoad(t *testing.T) {
 	core, _, a := fillCore(t, Instant{Steady: time.Second})
 	if core.workers["w1"].load.fillCPU == 0 {
