--- a/dispatch/rank.go
+++ b/dispatch/rank.go
@@ -10,7 +10,8 @@
 
 // Values of jobs by lateness.
 const (
-	// lateFactor times its objective after its arrival, a job has no value left for being late.
+	// lateFactor is the multiple of its objective after which a job earns nothing for
+	// being on time.
 	lateFactor = 3
 	// lateWorth is the value of a late job to its customer, as a share of its value
 	// on time. The users' own accounting uses this share.
