--- a/dispatch/budget_test.go
+++ b/dispatch/budget_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Where headroom does not last for all, the job that is due first gets it, and a fill that
-// stays halted waits in line again.
+// Where headroom does not suffice for all fills, the job that is due first gets it, and a fill
+// that stays halted is queued again.
 func TestHeadroomGoesToTheJobThatIsDueFirst(t *testing.T) {
 	now := Instant{Steady: 20 * time.Second, UnixMS: 20_000}
 	core := sureCore(Params{}, 1, now)
@@ -24,8 +24,8 @@
 		return task.attempt
 	}
 	core.model.regression("web").grow("calm", 0.1, 0.01)
-	later, calm, sooner := add(1, 19_900, "loud"), add(2, 19_900, "calm"), add(3, 19_000, "loud")
-	want := map[*attempt]int{sooner: fullPace, calm: fullPace, later: 60}
+	later, harmless, sooner := add(1, 19_900, "loud"), add(2, 19_900, "calm"), add(3, 19_000, "loud")
+	want := map[*attempt]int{sooner: fullPace, harmless: fullPace, later: 60}
 	for _, p := range core.fillPaces(w, now) {
 		if p.percent != want[p.fill] {
 			t.Errorf("job %s has pace %d, want %d", p.fill.task.step.job.spec.ID, p.percent, want[p.fill])
@@ -38,7 +38,7 @@
 			t.Fatalf("stopped %v after it was halted", at.Steady-now.Steady)
 		}
 	}
-	if !later.stopping || calm.stopping {
-		t.Errorf("after %v at pace 0 stopped: %v; a fill that takes nothing: %v", 2*requeueAfter, later.stopping, calm.stopping)
+	if !later.stopping || harmless.stopping {
+		t.Errorf("after %v at pace 0 stopped: %v; a fill that takes no headroom: %v", 2*requeueAfter, later.stopping, harmless.stopping)
 	}
 }
--- a/dispatch/rank_test.go
+++ b/dispatch/rank_test.go
@@ -7,8 +7,8 @@
 	"leverstile.dev/job"
 )
 
-// A lasting task that has waited for long took each piece of room that became free, and
-// urgent tasks that end within a second starved.
+// Guards against long-running tasks that have waited for long taking all capacity that becomes
+// free, so that urgent tasks that end within a second starve.
 func TestShortTasksOnTimeGoBeforeLastingOnes(t *testing.T) {
 	now := Instant{Steady: 20 * time.Second, UnixMS: 20_000}
 	core := sureCore(Params{}, 1, now)
@@ -18,15 +18,15 @@
 		core.AddJob(spec, nil, false, Instant{Steady: time.Duration(acceptedMS) * time.Millisecond, UnixMS: acceptedMS})
 		return core.jobs[spec.ID].steps[0]
 	}
-	hopeless := add(1, 0, job.Step{Count: 1, EstimateMS: 1000})
+	expired := add(1, 0, job.Step{Count: 1, EstimateMS: 1000})
 	late := add(2, 16_000, job.Step{Count: 1, EstimateMS: 1000})
-	lasting := add(3, 1_000, job.Step{Count: 1, Lasting: true})
+	longRunning := add(3, 1_000, job.Step{Count: 1, Lasting: true})
 	soon := add(4, 19_900, job.Step{Count: 1, EstimateMS: 1000})
 	sooner := add(5, 19_000, job.Step{Count: 1, EstimateMS: 1000})
-	want := []*stepRun{sooner, soon, lasting, late, hopeless}
+	want := []*stepRun{sooner, soon, longRunning, late, expired}
 	for i, c := range core.candidates(now) {
 		if c.step != want[i] {
-			t.Errorf("place %d is taken by job %s, want %s", i, c.step.job.spec.ID, want[i].job.spec.ID)
+			t.Errorf("rank %d is job %s, want %s", i, c.step.job.spec.ID, want[i].job.spec.ID)
 		}
 	}
 }
--- a/dispatch/speed_test.go
+++ b/dispatch/speed_test.go
@@ -8,7 +8,7 @@
 	"leverstile.dev/job"
 )
 
-// speedCase is a core with one step of tasks, one on each of several workers.
+// speedCase is a core with one step, whose tasks run one on each of several workers.
 type speedCase struct {
 	core *Core
 	now  Instant
@@ -42,12 +42,12 @@
 	return s
 }
 
-// run lists each task's progress, told by its index and the time since its
+// run lists each task's progress, as a function of its index and the time since its
 // start, every half second; it returns the orders.
 func (s *speedCase) run(d time.Duration, progress func(index int, since time.Duration) int) []Order {
 	var orders []Order
-	began := s.now.Steady
-	for s.now.Steady < began+d {
+	start := s.now.Steady
+	for s.now.Steady < start+d {
 		s.now.Steady += 500 * time.Millisecond
 		for _, t := range s.step.tasks {
 			a := t.attempt
@@ -64,8 +64,8 @@
 
 func percentOf(since, whole time.Duration) int { return int(100 * since / whole) }
 
-// A task that stands still, or works at a fraction of its fellows' speed, moves
-// to another worker, and its worker gets nothing new for a while.
+// A task that stands still, or works at a fraction of the speed of its step's other tasks, moves
+// to another worker, and its worker gets no new tasks for a while.
 func TestTasksLeaveSlowWorkers(t *testing.T) {
 	for name, slow := range map[string]func(since time.Duration) int{
 		"stands still": func(time.Duration) int { return 3 },
@@ -83,14 +83,14 @@
 				t.Fatalf("orders: %v", orders)
 			}
 			if w := s.core.workers[orders[0].Worker]; s.now.Steady >= w.slowUntil {
-				t.Error("the slow worker takes work")
+				t.Error("the slow worker gets new tasks")
 			}
 		})
 	}
 }
 
-// What is slow for another reason stays: all tasks of the step alike, a fill that
-// gets little processor time, a run that reads its checkpoint.
+// Guards against moving tasks that are slow for a reason other than their worker: all tasks of the
+// step alike, a fill that gets little processor time, a run that reads its checkpoint.
 func TestTasksStayThatAreSlowEverywhere(t *testing.T) {
 	for name, x := range map[string]struct {
 		step     job.Step
@@ -128,8 +128,8 @@
 	}
 }
 
-// Room at a worker that counts as slow must serve lasting tasks, and jobs that have nothing
-// running, if there is none elsewhere.
+// Capacity of a worker that counts as slow must serve long-running tasks, and jobs that have
+// nothing running, if there is none elsewhere.
 func TestSlowWorkersServeWhatHasNoOtherPlace(t *testing.T) {
 	now := Instant{Steady: time.Minute}
 	core := sureCore(Params{}, 1, now)
@@ -141,14 +141,14 @@
 		s := &stepRun{job: j, spec: &step}
 		return core.choose(&task{step: s}, pool, core.plainView(s, now), now)
 	}
-	short, lasting := job.Step{Count: 1, CPUMilli: 100}, job.Step{Count: 1, CPUMilli: 100, Lasting: true}
+	short, longRunning := job.Step{Count: 1, CPUMilli: 100}, job.Step{Count: 1, CPUMilli: 100, Lasting: true}
 	for name, x := range map[string]struct{ got, want *worker }{
 		"a short task waits":             {choose(short, 0, slow), nil},
 		"a short task has another place": {choose(short, 0, slow, sound), sound},
 		"a job with nothing running":     {choose(short, 2*starvedAfter, slow), slow},
 		"the same with another place":    {choose(short, 2*starvedAfter, slow, sound), sound},
-		"a lasting task":                 {choose(lasting, 0, slow), slow},
-		"the same with another place ":   {choose(lasting, 0, slow, sound), sound},
+		"a long-running task":            {choose(longRunning, 0, slow), slow},
+		"the same with another place ":   {choose(longRunning, 0, slow, sound), sound},
 	} {
 		if x.got != x.want {
 			t.Errorf("%s: %v", name, x.got)
