--- a/dispatch/checkpoint.go
+++ b/dispatch/checkpoint.go
@@ -2,21 +2,21 @@
 
 import "fmt"
 
-// checkpoint is what a task can continue from, and where the owner learnt of it.
+// checkpoint is what a task can continue from, and where the owner received it.
 type checkpoint struct {
 	text string
-	// run saved it, as told by worker: in its list of ends if end is that end's number,
-	// else in its list of what runs, at clock on the worker's clock.
+	// run saved it, as reported by worker: in its list of ended runs if end is that end's
+	// number, else in its list of running tasks, at clock on the worker's clock.
 	run    uint64
 	worker WorkerID
 	end    uint64
 	clock  int64
 }
 
-// mostCheckpointLogged bounds the bytes of a checkpoint in a log line.
+// maxLoggedCheckpointBytes bounds the bytes of a checkpoint in a log line.
 const mostCheckpointLogged = 64
 
-// String tells the checkpoint and its origin, for the log.
+// String describes the checkpoint and its origin, for the log.
 func (c checkpoint) String() string {
 	if c.text == "" {
 		return ""
@@ -38,39 +38,39 @@
 	worker WorkerID
 }
 
-// noteCheckpoint takes in a checkpoint that a worker told of a task, unless it does not
-// count; then it returns why. An older run's does not replace that of a newer one, since
-// ends may be told late and in any order.
-func (c *Core) noteCheckpoint(t *task, w *worker, told checkpoint) (ignored string) {
+// recordCheckpoint records a checkpoint that a worker reported for a task. If the checkpoint
+// does not count, it returns why. An older run's does not replace that of a newer one, since
+// ends may be reported late and in any order.
+func (c *Core) noteCheckpoint(t *task, w *worker, reported checkpoint) (ignored string) {
 	kept := t.keptCheckpoint()
 	switch {
 	case !t.step.spec.Checkpoints:
-		return "its step keeps none"
-	case !c.mayHaveSaved(t, w, told):
-		return "its run is not one that was ordered there"
-	case told.run < kept.run:
+		return "its step has no checkpoints"
+	case !c.mayHaveSaved(t, w, reported):
+		return "its run was not ordered at this worker"
+	case reported.run < kept.run:
 		return "a newer run has saved one"
 	}
-	*kept = told
+	*kept = reported
 	return ""
 }
 
-// noteStarted notes a run that this owner ordered, or adopted from an earlier one.
+// addStart records a run that this owner ordered, or adopted from an earlier one.
 func (t *task) noteStarted(run uint64, w *worker) {
 	t.previousStart, t.lastStart = t.lastStart, startedRun{run, w.info.ID}
 }
 
 // mayHaveSaved reports whether a run at a worker may be one of the task's. Of the runs that
 // this owner knows, the newest two count: the end of one that was lost with its worker may be
-// told after the next start was refused. Which ones earlier owners ordered is not known: theirs
-// count while the worker's lists are read for the first time, and those that still run are
-// adopted then.
-func (c *Core) mayHaveSaved(t *task, w *worker, told checkpoint) bool {
-	known := startedRun{told.run, w.info.ID}
+// reported after the next start was refused. Which runs earlier owners ordered is not known:
+// theirs count while the worker's lists are read for the first time, and those that still run
+// are adopted then.
+func (c *Core) mayHaveSaved(t *task, w *worker, reported checkpoint) bool {
+	known := startedRun{reported.run, w.info.ID}
 	if t.lastStart == known || t.previousStart == known {
 		return true
 	}
-	return c.ofEarlierTerm(told.run) && !w.synced
+	return c.ofEarlierTerm(reported.run) && !w.synced
 }
 
 // ofEarlierTerm reports whether an earlier owner may have ordered a run.
@@ -79,8 +79,8 @@
 	return 0 < term && term < c.term
 }
 
-// keptCheckpoint returns where the task's checkpoint is kept. That of any member is good
-// for its gang, and all members must bring the same one.
+// checkpointSlot returns where the task's checkpoint is stored. That of any member is valid
+// for its gang, and all members must start with the same one.
 func (t *task) keptCheckpoint() *checkpoint {
 	if t.step.spec.Gang {
 		return &t.step.checkpoint
@@ -88,5 +88,5 @@
 	return &t.checkpoint
 }
 
-// continuesFrom returns the checkpoint that the task's next start brings.
+// continuesFrom returns the checkpoint that the task's next start carries.
 func (t *task) continuesFrom() checkpoint { return *t.keptCheckpoint() }
--- a/dispatch/dropped.go
+++ b/dispatch/dropped.go
@@ -7,18 +7,18 @@
 	"leverstile.dev/job"
 )
 
-// droppedJobs are jobs that ended long ago: the core has forgotten them, and their
-// records go. Nothing that is still heard of them may be taken for a new job: a
-// read of all records finds those that are not removed yet, and a watch that is
-// behind tells of some that are gone. Their tasks would run a second time.
+// droppedJobs are jobs that ended long ago: the core has deleted them, and their
+// records are being removed. Such a job must not be added as new when it is received
+// once more, or its tasks run a second time: a read of all records returns those that are
+// not removed yet, and a watch that is behind reports some that are already removed.
 //
-// Invariant: a job is in known until its records are removed and all news of jobs
-// up to that removal have been taken in.
+// Invariant: a job is in known until its records are removed and all updates of jobs
+// up to that removal have been processed.
 type droppedJobs struct {
 	known   map[string]bool
 	expired []string // jobs whose records can be removed
 	removed []removedJobs
-	// again holds jobs that are heard of under known ids, until it is known whether
+	// again holds jobs that were received under known ids, until it is known whether
 	// their records were written after the removal.
 	again map[string]recordedJob
 }
@@ -43,7 +43,7 @@
 	d.expired = append(d.expired, id)
 }
 
-// dropOldJobs forgets what has been final for long.
+// dropOldJobs deletes jobs that have been final for longer than Params.JobKept.
 func (c *Core) dropOldJobs(now Instant) {
 	for id, j := range c.jobs {
 		if !j.progress.State.Final() || j.persisted != j.version {
@@ -61,18 +61,18 @@
 	}
 }
 
-// cancelKept is how long a cancellation is kept of a job that has not come. A write of the
-// store is carried out up to 12 s late, and heard of within some seconds once the store is
-// reached.
+// cancelKept is how long the cancellation of a job that has not been received is kept. A
+// write to the store is carried out up to 12 s late, and is received within some seconds
+// once the store is reached.
 const cancelKept = time.Minute
 
-// OldCancels returns jobs that were cancelled long ago and never came, at most limit: the
-// records of their cancellation can be removed, if they still have not come. They are
+// OldCancels returns at most limit jobs that were cancelled long ago and never received:
+// the records of their cancellation can be removed, if they still have not come. They are
 // returned until CancelsRemoved.
 func (c *Core) OldCancels(limit int, now Instant) []string {
 	var ids []string
-	for id, heard := range c.cancelled {
-		if now.Steady-heard > cancelKept {
+	for id, receivedAt := range c.cancelled {
+		if now.Steady-receivedAt > cancelKept {
 			ids = append(ids, id)
 		}
 	}
@@ -80,20 +80,20 @@
 	return ids[:min(limit, len(ids))]
 }
 
-// CancelsRemoved tells that the store no longer holds the cancellations of jobs.
+// CancelsRemoved records that the store no longer holds the cancellations of jobs.
 func (c *Core) CancelsRemoved(ids []string) {
 	for _, id := range ids {
 		delete(c.cancelled, id)
 	}
 }
 
-// Expired returns jobs that were final for long, whose records can be removed;
-// at most limit. They are returned until Removed.
+// Expired returns at most limit jobs that have been final for long, whose records can be
+// removed. They are returned until RecordsRemoved.
 func (c *Core) Expired(limit int) []string {
 	return c.dropped.expired[:min(limit, len(c.dropped.expired))]
 }
 
-// Removed tells that the store no longer holds the first n of Expired, from a
+// RecordsRemoved records that the store no longer holds the first n of Expired, from a
 // revision on.
 func (c *Core) Removed(n int, revision int64) {
 	d := &c.dropped
@@ -106,8 +106,8 @@
 }
 
 // AddRecordedJob is AddJob for a new job whose record was written at a revision. If
-// the records of a dropped job of its id were removed before that, it is a job of its
-// own; while the removal is under way, it waits for the answer.
+// the records of a dropped job with its id were removed before that, it is a separate
+// job; while the removal is in progress, it waits for the result.
 func (c *Core) AddRecordedJob(spec *job.Spec, revision int64, now Instant) {
 	d := &c.dropped
 	if !d.known[spec.ID] {
@@ -117,7 +117,7 @@
 	if d.again == nil {
 		d.again = map[string]recordedJob{}
 	}
-	if revision >= d.again[spec.ID].revision { // a hint tells none
+	if revision >= d.again[spec.ID].revision { // a hint has no revision
 		d.again[spec.ID] = recordedJob{deferredJob{spec, now.Steady - ageAtIntake(spec, false, now)}, revision}
 	}
 	for _, r := range d.removed {
@@ -127,7 +127,7 @@
 	}
 }
 
-// releaseID takes in the job that was recorded under a dropped id after the removal
+// queueResubmitted queues the job that was recorded under a dropped id after the removal
 // of that id's records, if there is one.
 func (c *Core) releaseID(id string, removed int64) {
 	if next, ok := c.dropped.again[id]; ok && next.revision > removed {
@@ -141,8 +141,8 @@
 	delete(d.again, id)
 }
 
-// IntakeTaken tells that all news of jobs up to a revision of the store have been
-// taken in.
+// IntakeProcessed records that all updates of jobs up to a revision of the store have
+// been processed.
 func (c *Core) IntakeTaken(revision int64) {
 	d := &c.dropped
 	for len(d.removed) > 0 && d.removed[0].revision <= revision {
--- a/dispatch/ends.go
+++ b/dispatch/ends.go
@@ -6,13 +6,13 @@
 	"leverstile.dev/job"
 )
 
-// Figures of retries and of workers that fail what they start.
+// Limits of retries and of workers whose tasks fail.
 const (
 	// retryDelay is the pause before a failed task starts again.
 	retryDelay = 100 * time.Millisecond
-	// failStreakLimit ends "failed" in a row, each of another job, mark a
-	// worker as bad: by chance three tasks in a row fail in 1 of 8,000 (the
-	// users' tasks fail in 2% to 5% of their runs).
+	// failStreakLimit failures in a row, each of another task, mark a worker as
+	// bad: three in a row happen by chance in 1 of 8,000 (tasks fail in 2% to 5%
+	// of their runs).
 	failStreakLimit = 3
 	// avoidMin and avoidMax bound how long a bad worker gets no work; the
 	// time doubles with each relapse.
@@ -20,11 +20,11 @@
 	avoidMax = 16 * time.Second
 )
 
-// takeEnd takes in the end of a run.
+// processEnd applies the end of a run that a worker lists.
 func (c *Core) takeEnd(w *worker, e *EndedTask, now Instant) {
 	t := c.findTask(e.Task)
 	if t == nil {
-		c.ignoreEnd(w, e, "job is over or unknown")
+		c.ignoreEnd(w, e, "the job has ended or is unknown")
 		return
 	}
 	if c.neverOrdered(t, e.Run) {
@@ -42,40 +42,41 @@
 	c.keepEnd(w, pendingEnd{number: e.Number, task: e.Task, job: t.step.job, version: t.step.job.version})
 }
 
-// ignoreEnd lets a worker forget an end that says nothing of a task.
+// ignoreEnd lets a worker forget an end that does not concern a task.
 func (c *Core) ignoreEnd(w *worker, e *EndedTask, reason string) {
 	c.keepEnd(w, pendingEnd{number: e.Number, task: e.Task})
 	c.trace(Decision{Event: "end_ignored", Job: e.Task.Job, Task: e.Task, Run: e.Run, Worker: w.info.ID, Reason: reason})
 }
 
-// keepEnd notes an end that the worker may forget once its effect is stored.
+// deferEndAck keeps an end that is acknowledged to the worker, which may then forget it,
+// once its effect is stored.
 func (c *Core) keepEnd(w *worker, e pendingEnd) {
 	w.ends = append(w.ends, e)
 	c.unstoredEnds[w] = true
 }
 
 // neverOrdered reports whether a run is of this owner's term, and newer than any start of
-// the task that it ordered. Runs of other terms may be true: of earlier owners, or of one that
-// has replaced this one.
+// the task that it ordered. Runs of other terms may be genuine: of earlier owners, or of one
+// that has replaced this one.
 func (c *Core) neverOrdered(t *task, run uint64) bool {
 	return run>>runBits == c.term && run > t.lastStart.run
 }
 
-// noteEndCheckpoint takes in the checkpoint that an end tells, also of an older run than the
-// one that is expected.
+// recordEndCheckpoint records the checkpoint that comes with an end, also if the run is
+// older than the expected one.
 func (c *Core) noteEndCheckpoint(t *task, w *worker, e *EndedTask) {
 	if e.Checkpoint == "" {
 		return
 	}
-	told := checkpoint{text: e.Checkpoint, run: e.Run, worker: w.info.ID, end: e.Number}
-	if ignored := c.noteCheckpoint(t, w, told); ignored != "" {
+	reported := checkpoint{text: e.Checkpoint, run: e.Run, worker: w.info.ID, end: e.Number}
+	if ignored := c.noteCheckpoint(t, w, reported); ignored != "" {
 		d := taskDecision("checkpoint_ignored", t, w, e.Run, ignored)
-		d.Detail = told.String()
+		d.Detail = reported.String()
 		c.trace(d)
 	}
 }
 
-// countEnd draws the consequences of an end for the task and the worker.
+// applyEnd updates the task, the worker and the statistics by the kind of an end.
 func (c *Core) countEnd(w *worker, t *task, a *attempt, e *EndedTask, now Instant) {
 	switch e.Kind {
 	case EndDone:
@@ -102,7 +103,7 @@
 	}
 }
 
-// endedDone marks the task; a later run of it elsewhere is stopped.
+// finishTask marks the task as done and stops a later run of it elsewhere.
 func (c *Core) endedDone(t *task, a *attempt, now Instant) {
 	other := t.attempt
 	c.taskDone(t, now)
@@ -112,7 +113,7 @@
 }
 
 // countFailure counts a failed run against the queue's budget. A gang fails as
-// one: its failures are counted at its first task.
+// a whole: its failures are counted at its first task.
 func (c *Core) countFailure(t *task, run uint64, now Instant) {
 	s := t.step
 	if s.spec.Lasting {
@@ -134,8 +135,8 @@
 	}
 }
 
-// blameWorker counts failures in a row. Gangs and repeats of one task say
-// little of the worker.
+// countWorkerFailure counts failures in a row at a worker. Failures of gangs and repeated
+// failures of one task are no evidence against the worker.
 func (c *Core) blameWorker(w *worker, t *task, now Instant) {
 	if t.step.spec.Gang || t.avoid == w.info.ID {
 		return
@@ -144,11 +145,11 @@
 	if w.failStreak < failStreakLimit {
 		return
 	}
-	w.failStreak = failStreakLimit - 1 // one more failure when it is tried again
+	w.failStreak = failStreakLimit - 1 // one more failure once it gets work again
 	c.avoidWorker(w, "its tasks fail one after the other", now)
 }
 
-// avoidWorker gives a worker no work for a while, longer at each relapse.
+// avoidWorker excludes a worker for a while, longer at each relapse.
 func (c *Core) avoidWorker(w *worker, reason string, now Instant) {
 	if now.Steady < w.avoidUntil {
 		return
--- a/dispatch/jobs.go
+++ b/dispatch/jobs.go
@@ -6,7 +6,7 @@
 	"leverstile.dev/job"
 )
 
-// jobState is an accepted job.
+// jobState is an accepted job with its steps, its progress and what the store has of it.
 type jobState struct {
 	spec     *job.Spec
 	progress job.Progress
@@ -16,7 +16,7 @@
 	// store has. A state is shown, and an end acknowledged, once persisted.
 	version, persisted uint64
 	shown              job.State
-	begun              bool
+	begun              bool // a worker has started one of its tasks
 	// cancelled is set by the customer; nothing of the job starts any more.
 	cancelled bool
 	// active is the number of attempts that may be running.
@@ -24,8 +24,8 @@
 	// idleSince is when the job's last attempt ended, for jobs that have
 	// tasks to run.
 	idleSince time.Duration
-	// acceptedAt is when it was accepted, by the owner's steady clock; endedAt when
-	// it became final, or at the latest when this owner took over.
+	// acceptedAt is when the job was accepted, by the owner's steady clock; endedAt is
+	// when it became final, or at the latest when this owner took over.
 	acceptedAt, endedAt time.Duration
 }
 
@@ -37,7 +37,7 @@
 	index      int
 	tasks      []*task
 	left       int // tasks that are not done
-	after      int // steps of the occurrence that are waited for
+	after      int // steps of the occurrence that must be done first
 	// ready is the number of tasks in phaseReady; queued is set while the
 	// step is in Core.open.
 	ready  int
@@ -47,18 +47,18 @@
 	perWork     map[*worker]int // attempts by worker, only with MaxPerWorker
 	checkpoint  checkpoint      // of a gang
 	advice      *advice         // of the placement policy, if the queue has one
-	toldWaiting time.Duration
-	measured    int           // measures of its tasks' speed; see progressWatch
-	fastest     time.Duration // the shortest run time measured
-	suspects    int           // tasks with crashes
-	apartRetry  time.Duration // when its suspects are tried again
-	preempted   time.Duration // when room was last made for it
+	toldWaiting time.Duration   // when it was last logged that the step waits
+	measured    int             // samples of its tasks' run time; see progressWatch
+	fastest     time.Duration   // the shortest run time measured
+	suspects    int             // tasks with crashes
+	apartRetry  time.Duration   // when its suspects are tried again
+	preempted   time.Duration   // when tasks were last preempted for it
 	basis       rankBasis
-	// preemptTried is when room to be made for it was last looked for.
+	// preemptTried is when tasks to preempt for it were last searched.
 	preemptTried time.Duration
 }
 
-// phase is where a task is in its life.
+// phase is the state of a task.
 type phase uint8
 
 const (
@@ -87,8 +87,8 @@
 	phase      phase
 	attempt    *attempt
 	checkpoint checkpoint // unless it is of a gang
-	// lastStart is the newest run that this owner ordered or adopted, previousStart the one
-	// before.
+	// lastStart is the newest run that this owner ordered or adopted, previousStart the
+	// one before it.
 	lastStart, previousStart startedRun
 	// notBefore delays a start after a failure.
 	notBefore time.Duration
@@ -96,26 +96,28 @@
 	avoid WorkerID
 	// readySince is when the task last became ready.
 	readySince time.Duration
-	// concluded is set if no list told how the last attempt ended. Such a task
-	// starts again only under a sure lease: the next owner may know its end.
+	// concluded is set if the last attempt counts as ended though no list reported its
+	// end. Such a task starts again only while the lease is held for certain: the next
+	// owner may know how the attempt ended.
 	concluded bool
 	// speedMoves counts the moves off slow workers.
 	speedMoves int
-	// failedInTerm is set once this owner has read a failure of the task, of a
-	// gang at its first task.
+	// failedInTerm is set once this owner has read a failure of the task; for a gang it
+	// is set at the first task.
 	failedInTerm bool
-	// crashes is how many workers in a row crashed at its start, of a gang at its
-	// first task; crashVersion is the job's version that tells so, and unsettled how
-	// many more of its runs may have been crashes; see lostLife.
+	// crashes is how many workers in a row crashed at its start, counted for a gang at
+	// its first task; crashVersion is the job's version that records it; unsettled is how
+	// many more of its runs may have been crashes, see lostLife.
 	crashes, unsettled int
 	crashVersion       uint64
-	// comparedAt is when its newest crash is told apart from others; see crashComparison.
+	// comparedAt is when its newest crash is compared with those of other workers; see
+	// crashComparison.
 	comparedAt time.Duration
 	// doubts are runs that may have crashed their workers, while no crash is known; see
 	// noteLostWithOwner and noteUnclearEnd.
 	doubts []uint64
-	// lastStartKnown is set if it is known what became of its last start by the previous
-	// owner.
+	// lastStartKnown is set once the outcome of its last start by the previous owner is
+	// known.
 	lastStartKnown bool
 }
 
@@ -124,39 +126,40 @@
 	task   *task
 	worker *worker
 	run    uint64
-	// deadline is that of the start order, on the worker's clock: an order
-	// that has not arrived by then is refused.
+	// deadline is that of the start order, on the worker's clock: the worker refuses an
+	// order that arrives later.
 	deadline int64
-	// ackClock is the worker's clock at the answer that confirmed the run;
-	// 0 while the start is unanswered. A list read before is older.
+	// ackClock is the worker's clock at the answer that confirmed the run, 0 while the
+	// start is unanswered. A list with a smaller clock was read before the start.
 	ackClock int64
-	// brokenAt is when the connection of the start's first copy broke off, 0 if it did not.
+	// brokenAt is when the connection of the start's first copy broke, 0 if it did not.
 	brokenAt time.Duration
-	// unsent is set until the store knows of the start.
+	// unsent is set until the store has a record of the start.
 	unsent bool
-	// lost is set if no list told how the run ended.
+	// lost is set if no list reported how the run ended.
 	lost bool
-	// missed is set while the newest lists lack the run since it was last known to
-	// be there, missedAt is when the first of them was read; see missing.
+	// missed is set while the newest lists lack a run that was known to be at the worker;
+	// missedAt is when the first of these lists was read; see missing.
 	missed   bool
 	missedAt time.Duration
-	tries    int
+	tries    int // copies of the start that were sent
 	// placedAt is when it was ordered, started when that was confirmed.
 	placedAt time.Duration
 	started  time.Duration
 	stopping bool
-	listed   bool          // by the worker's life
+	listed   bool          // by the worker's incarnation
 	atWork   bool          // past its start in the newest list
 	stopAt   time.Duration // when the last stop was sent
-	// percent is the pace wanted, paced the one the worker was told.
+	// percent is the wanted pace (the limit of its CPU share), paced the one that the
+	// worker has acknowledged.
 	percent, paced int
-	paceAt         time.Duration // when the worker was last told
+	paceAt         time.Duration // when the last order of a pace was sent
 	paceDoubted    time.Duration // when an order of a pace last got no answer
 	progress       progressWatch
 	slowedSince    time.Duration // since when its pace is below movePace
 	fullCPU        float64       // thousandths of a core at full pace, from readings
-	hasUse         bool
-	used           float64 // the newest reading, thousandths of a core
+	hasUse         bool          // fullCPU is set
+	used           float64       // the newest reading, thousandths of a core
 	tail           tailWatch
 	ticket         string
 	adopted        bool
@@ -167,37 +170,38 @@
 	return job.TaskID{Job: t.step.job.spec.ID, Occurrence: t.step.occurrence, Step: t.step.index, Index: t.index}
 }
 
-// AddJob takes in a job that the store holds. Progress is nil for a new one.
-// A job that was there before the takeover has tasks that the previous owner
-// may have started.
-func (c *Core) AddJob(spec *job.Spec, progress *job.Progress, before bool, now Instant) {
+// AddJob adds a job that the store holds. Progress is nil for a new one. A job that
+// was stored before the takeover (stored) has tasks that the previous owner may have
+// started.
+func (c *Core) AddJob(spec *job.Spec, progress *job.Progress, stored bool, now Instant) {
 	if _, ok := c.jobs[spec.ID]; ok || c.held[spec.ID] || c.dropped.known[spec.ID] {
 		return
 	}
-	if !before && !c.certain(now) {
-		// Another owner may be there, and take this for a job that nobody
-		// else can have started.
-		c.deferred = append(c.deferred, deferredJob{spec, now.Steady - ageAtIntake(spec, before, now)})
+	if !stored && !c.certain(now) {
+		// Another owner may have taken over and started the job, which would
+		// then be treated as one that nobody else can have started.
+		c.deferred = append(c.deferred, deferredJob{spec, now.Steady - ageAtIntake(spec, stored, now)})
 		return
 	}
-	c.addJob(spec, progress, before, now.Steady-ageAtIntake(spec, before, now), now)
+	c.addJob(spec, progress, stored, now.Steady-ageAtIntake(spec, stored, now), now)
 }
 
-// HoldJob leaves a job alone for this term, whatever is heard of it later: it is
-// not known which of its tasks are done. Taken for new when the store's history was
-// lost and all jobs were read again, its tasks ran a second time.
+// HoldJob excludes a job for the rest of this term, however often it is received
+// again: it is not known which of its tasks are done. Otherwise, when the store's
+// history is lost and all jobs are read again, it would be added as new and its tasks
+// would run a second time.
 func (c *Core) HoldJob(id string) {
 	c.held[id] = true
 	c.trace(Decision{Event: "job_held", Job: id, Reason: "its record or its progress is damaged"})
 }
 
-// deferredJob is a job that waits until the lease is sure.
+// deferredJob is a job that is added once the lease is held for certain.
 type deferredJob struct {
 	spec       *job.Spec
 	acceptedAt time.Duration
 }
 
-func (c *Core) addJob(spec *job.Spec, progress *job.Progress, before bool, acceptedAt time.Duration, now Instant) {
+func (c *Core) addJob(spec *job.Spec, progress *job.Progress, stored bool, acceptedAt time.Duration, now Instant) {
 	j := &jobState{spec: spec, shown: job.Queued, idleSince: now.Steady, acceptedAt: acceptedAt, endedAt: now.Steady}
 	j.progress.State = job.Queued
 	c.jobs[spec.ID] = j
@@ -209,9 +213,9 @@
 	if j.progress.State.Final() {
 		return
 	}
-	j.build(before && len(c.unresolved) > 0)
+	j.build(stored && len(c.unresolved) > 0)
 	c.takeCrashes(j)
-	if before {
+	if stored {
 		c.takeDoubts(j, now)
 		c.takeStarts(j, now)
 	}
@@ -229,28 +233,28 @@
 	}
 }
 
-// Bounds of the age of a job when the owner hears of it: of a new one, of which a
-// watch tells within 2.4 s even if its connection is silent, and of one from before
-// a takeover, whose customer does not care for a minute more.
+// Bounds of a job's age when the owner receives it. The watch reports a new job within
+// 2.4 s even if its connection is silent. For a job from before a takeover, a minute more
+// makes no difference to its customer.
 const (
 	mostNewAge    = 3 * time.Second
 	mostStoredAge = 60 * time.Second
 )
 
 // ageAtIntake returns how long ago a job was accepted, as far as the clocks of the
-// entry that accepted it and of the owner can be believed: from then on only the
-// steady clock counts. A clock that is hours ahead made all jobs of its entry
-// hopeless, or the most pressing of all.
-func ageAtIntake(spec *job.Spec, before bool, now Instant) time.Duration {
+// entry that accepted it and of the owner can be trusted: from then on only the
+// steady clock counts. Without the bounds, a clock that is hours ahead makes all jobs of
+// its entry hopelessly late, or the most urgent of all.
+func ageAtIntake(spec *job.Spec, stored bool, now Instant) time.Duration {
 	most := mostNewAge
-	if before {
+	if stored {
 		most = mostStoredAge
 	}
 	age := time.Duration(now.UnixMS-spec.AcceptedMS) * time.Millisecond
 	return min(max(age, 0), most)
 }
 
-// addDeferred takes in the jobs that came while the lease was not sure.
+// addDeferred adds the jobs that came while the lease was not held for certain.
 func (c *Core) addDeferred(now Instant) {
 	if len(c.deferred) == 0 || !c.certain(now) {
 		return
@@ -264,7 +268,8 @@
 	}
 }
 
-// build makes the steps and tasks.
+// build creates the steps and tasks; unknown means that an earlier owner may have
+// started the tasks.
 func (j *jobState) build(unknown bool) {
 	for occurrence := range j.spec.Times() {
 		first := len(j.steps)
@@ -304,7 +309,7 @@
 	return s
 }
 
-// takeCrashes takes in what the store knows of the crashes of a job's tasks.
+// takeCrashes sets the crash counts of a job's tasks from its stored progress.
 func (c *Core) takeCrashes(j *jobState) {
 	if len(j.progress.Crashes) == 0 {
 		return
@@ -316,13 +321,13 @@
 	}
 }
 
-// openStep makes the tasks of a step ready if nothing holds them back.
+// openStep makes the tasks of a step ready if it is due and waits for no other step.
 func (c *Core) openStep(s *stepRun, now Instant) {
 	if s.after > 0 || s.left == 0 || s.job.cancelled {
 		return
 	}
 	if due := s.job.spec.DueMS(s.occurrence); due > now.UnixMS {
-		c.queueStep(s) // looked at again in each pass
+		c.queueStep(s) // checked again in each pass
 		return
 	}
 	for _, t := range s.tasks {
@@ -332,10 +337,10 @@
 	}
 }
 
-// due reports whether the step's time has come.
+// due reports whether the step's occurrence is due.
 func (s *stepRun) due(now Instant) bool { return s.job.spec.DueMS(s.occurrence) <= now.UnixMS }
 
-// mayHaveBegun reports whether an owner may have started tasks of the step.
+// mayHaveStarted reports whether an owner may have started tasks of the step.
 func (s *stepRun) mayHaveBegun(now Instant) bool { return !s.blocked() && s.due(now) }
 
 // blocked reports whether an earlier step is not done.
@@ -359,8 +364,8 @@
 	}
 }
 
-// release ends an attempt: nothing of it runs any more. The task becomes ready
-// again unless it is done or its job is over.
+// release ends an attempt of which nothing runs any more. The task becomes ready
+// again unless it is done or its job has ended.
 func (c *Core) release(a *attempt, now Instant) {
 	t, w := a.task, a.worker
 	s := t.step
@@ -395,7 +400,7 @@
 }
 
 // gangMemberLeft stops the other members of a run, and makes all tasks ready
-// once none is left.
+// once no member is active.
 func (c *Core) gangMemberLeft(s *stepRun, run uint64, now Instant) {
 	active := false
 	for _, t := range s.tasks {
--- a/dispatch/persist.go
+++ b/dispatch/persist.go
@@ -8,14 +8,14 @@
 	"leverstile.dev/job"
 )
 
-// Record is a job's progress to be written.
+// Record is a job's progress as it is to be written to the store.
 type Record struct {
 	Job     string
 	Value   []byte
 	version uint64
 }
 
-// Dirty reports whether the progress of jobs or waves waits to be written.
+// Dirty reports whether the progress of jobs or maintenance waves waits to be written.
 func (c *Core) Dirty() bool {
 	if len(c.dirty) > 0 {
 		return true
@@ -32,7 +32,7 @@
 func (c *Core) Backlog() int { return len(c.dirty) }
 
 // Records returns the progress of at most limit jobs that the store lacks:
-// those that have ended, then the others in turn. A job is returned again
+// jobs that have ended first, then the others in turn. A job is returned again
 // until Persisted.
 func (c *Core) Records(limit int) ([]Record, error) {
 	jobs := make([]*jobState, 0, len(c.dirty))
@@ -58,7 +58,7 @@
 	return records, nil
 }
 
-// Persisted tells that the store holds the records. States may now be shown
+// Persisted records that the store holds the records. States may now be shown
 // and ends acknowledged.
 func (c *Core) Persisted(records []Record) {
 	for _, r := range records {
@@ -72,7 +72,7 @@
 			delete(c.dirty, j)
 		} else if _, waits := c.dirty[j]; waits {
 			c.turn++
-			c.dirty[j] = c.turn // it changed meanwhile: to the end of the line
+			c.dirty[j] = c.turn // it changed meanwhile, so it moves to the end of the queue
 		}
 	}
 	for w := range c.unstoredEnds {
@@ -83,7 +83,7 @@
 	}
 }
 
-// DecodeProgress reads a record's value.
+// DecodeProgress decodes a record's value.
 func DecodeProgress(value []byte) (*job.Progress, error) {
 	p := &job.Progress{}
 	return p, json.Unmarshal(value, p)
--- a/dispatch/progress.go
+++ b/dispatch/progress.go
@@ -2,7 +2,7 @@
 
 import "leverstile.dev/job"
 
-// touch marks a job's progress as changed.
+// markChanged counts a change of a job's progress and queues it to be written.
 func (c *Core) touch(j *jobState) {
 	j.version++
 	if _, waits := c.dirty[j]; !waits {
@@ -11,8 +11,9 @@
 	}
 }
 
-// markBegun notes that a worker has begun a task of the job. A start that was only ordered
-// may come to nothing, also after a takeover: customers ask how many jobs have not begun.
+// markStarted records that a worker has started a task of the job. An order alone does not
+// count, since it may have no effect, also after a takeover, and customers ask how many
+// jobs have not started.
 func (c *Core) markBegun(j *jobState) {
 	if j.begun {
 		return
@@ -20,12 +21,12 @@
 	j.begun = true
 	if j.progress.State == job.Queued {
 		j.progress.State = job.Running
-		j.shown = job.Running // needs no record: it promises nothing
+		j.shown = job.Running // shown before it is stored, since it promises nothing
 		c.touch(j)
 	}
 }
 
-// taskDone marks a task and, for a gang, all its fellows as done.
+// taskDone marks a task, or all tasks of its gang, as done.
 func (c *Core) taskDone(t *task, now Instant) {
 	if t.phase == phaseDone {
 		return // the end was recorded, but its acknowledgement was lost
@@ -111,7 +112,7 @@
 	j := c.jobs[id]
 	if j == nil {
 		if _, heard := c.cancelled[id]; !heard && !c.dropped.known[id] {
-			c.cancelled[id] = now.Steady // its job is put off, or comes later
+			c.cancelled[id] = now.Steady // its job is deferred, or comes later
 		}
 		return
 	}
@@ -141,7 +142,7 @@
 	return s, true
 }
 
-// Pending returns how many jobs of a queue have not begun.
+// Pending returns how many jobs of a queue have not started.
 func (c *Core) Pending(queue string) int {
 	n := 0
 	for _, j := range c.jobs {
@@ -152,8 +153,8 @@
 	return n + c.pendingDeferred(queue)
 }
 
-// pendingDeferred returns how many jobs of a queue wait for a sure lease before they
-// are taken in; they may be heard of more than once.
+// pendingDeferred returns how many jobs of a queue are deferred until the lease is held
+// for certain. A job may be received more than once.
 func (c *Core) pendingDeferred(queue string) int {
 	counted := map[string]bool{}
 	for _, d := range c.deferred {
