--- a/dispatch/admit.go
+++ b/dispatch/admit.go
@@ -6,32 +6,33 @@
 	"leverstile.dev/job"
 )
 
-// Figures of admission.
+// Limits of admission control, which refuses jobs that would start too late to be of use.
 const (
-	// admitPart of a lasting job's tasks must find room at once. Where all had to,
+	// admitPart of a long-running job's tasks must find capacity at once. If all had to,
 	// the widest jobs would be refused long before the others.
 	admitPart = 0.5
-	// crowdedAfter short tasks have waited on end, entries ask before they record
-	// further ones: a burst is placed within a pass or two.
+	// crowdedAfter is how long short tasks have waited continuously when entries begin to
+	// ask before they record further ones: a burst is placed within a pass or two.
 	crowdedAfter = 500 * time.Millisecond
-	// retryLeast and retryMost bound when a refused customer is asked back.
+	// retryLeast and retryMost bound the time after which a refused customer is asked to
+	// retry.
 	retryLeast = 1 * time.Second
 	retryMost  = 10 * time.Second
 )
 
-// Admission is what the owner expects of a job that is not recorded yet.
+// Admission is the owner's decision on a job that is not recorded yet.
 type Admission struct {
-	// Refused is set if the job would find no room before it is of no use.
+	// Refused is set if the job would find no capacity while it is of use.
 	Refused bool
 	Reason  string
-	// RetryAfter is when room is expected.
+	// RetryAfter is when capacity is expected.
 	RetryAfter time.Duration
 }
 
-// Admit tells whether a job will find room in time, by what is observed of its
-// service: a lasting one beside the room that short tasks need, a short one
-// behind those that wait already. A job that is known was accepted before, and
-// one whose room can't be told is taken.
+// Admit decides whether a job will find capacity in time, by what is observed of its
+// service: a long-running job beside the capacity that short tasks need, a short one
+// behind those that wait already. A job that is known was accepted before and is
+// admitted, and so is one whose capacity can't be determined.
 func (c *Core) Admit(spec *job.Spec, now Instant) Admission {
 	q, known := c.queues[spec.Queue]
 	k := c.kept[q.Service]
@@ -61,8 +62,8 @@
 	return nil
 }
 
-// admitLasting refuses a lasting job that would have to take the room kept for
-// short tasks, or stay accepted without running.
+// admitLongRunning refuses a long-running job that would have to use the capacity
+// reserved for short tasks, or would stay accepted without running.
 func (c *Core) admitLasting(k *keptRoom, q job.Queue, s *job.Step, now Instant) Admission {
 	if k.need == 0 || q.Priority < k.priority {
 		return Admission{}
@@ -79,8 +80,8 @@
 	return Admission{Refused: true, Reason: "no room for its lasting tasks beside what short ones need", RetryAfter: retry}
 }
 
-// lastingPlaces returns for how many tasks of a lasting step there is room
-// beside the lasting tasks of the workers that are not kept.
+// longRunningSlots returns for how many tasks of a long-running step there is capacity
+// beside the long-running tasks of the workers that are not reserved.
 func (c *Core) lastingPlaces(service string, s *job.Step, now Instant) int {
 	amount, places := amountOf(s), 0
 	for _, w := range c.members[service] {
@@ -97,15 +98,15 @@
 	return places
 }
 
-// times returns how often an amount fits.
-func times(room, amount int64) int {
+// countFits returns how often an amount fits into the capacity.
+func times(capacity, amount int64) int {
 	if amount <= 0 {
 		return job.MaxTasks
 	}
-	return int(max(room, 0) / amount)
+	return int(max(capacity, 0) / amount)
 }
 
-// lastingWaiting returns how many lasting tasks of a service are ready.
+// longRunningWaiting returns how many long-running tasks of a service are ready.
 func (c *Core) lastingWaiting(service string) int {
 	n := 0
 	for _, s := range c.open {
@@ -116,7 +117,7 @@
 	return n
 }
 
-// admitShort refuses a short job that would start so late, behind those that
+// admitShort refuses a short job that would start so late, behind the tasks that
 // wait, that it is of no use by its end.
 func (c *Core) admitShort(k *keptRoom, q job.Queue, spec *job.Spec, s *job.Step) Admission {
 	if k.waiting == 0 {
@@ -133,7 +134,7 @@
 	return Admission{Refused: true, Reason: "short tasks wait longer for room than it is of use", RetryAfter: time.Duration(min(wait, retryMost.Seconds()) * float64(time.Second))}
 }
 
-// Crowded reports whether short tasks have waited for room for a while.
+// Crowded reports whether short tasks have waited for capacity for longer than crowdedAfter.
 func (c *Core) Crowded(now Instant) bool {
 	for _, k := range c.kept {
 		if k.waiting > 0 && now.Steady-k.waitingSince > crowdedAfter {
@@ -143,12 +144,12 @@
 	return false
 }
 
-// KeptCPU returns what is left to short tasks of all services, and what short
+// ReservedCPU returns what is reserved for short tasks of all services, and what short
 // tasks on time hold and wait for on average, in thousandths of a core.
-func (c *Core) KeptCPU() (kept, demand int64) {
+func (c *Core) KeptCPU() (reserved, demand int64) {
 	for _, k := range c.kept {
-		kept += k.got
+		reserved += k.got
 		demand += int64(k.demand.mean)
 	}
-	return kept, demand
+	return reserved, demand
 }
--- a/dispatch/advice.go
+++ b/dispatch/advice.go
@@ -8,16 +8,17 @@
 	"leverstile.dev/job"
 )
 
-// Figures of calls to the placement policy.
+// Limits of calls to the placement policy, a service that allows steps on workers by
+// tickets.
 const (
 	// adviceWorkers is how many workers one call asks for: the users count on
 	// calls for 30 in a job's time.
 	adviceWorkers = 30
-	// adviceAhead is how long a ticket must still hold when it is used.
+	// adviceAhead is how long a ticket must still be valid when it is used.
 	adviceAhead = 300 * time.Millisecond
 	// adviceRetry is the pause after a call that failed.
 	adviceRetry = 300 * time.Millisecond
-	// enoughTickets for workers, no more are asked for.
+	// enoughTickets is how many workers with tickets suffice; no more are requested.
 	enoughTickets = 8
 )
 
@@ -29,13 +30,13 @@
 	sent    time.Duration
 }
 
-// Ticket allows a step's tasks at one life of a worker.
+// Ticket allows a step's tasks at one incarnation of a worker.
 type Ticket struct {
 	Worker WorkerID
 	Text   string
 }
 
-// advice is what the placement policy told of a step.
+// advice is what the placement policy answered for a step.
 type advice struct {
 	tickets map[WorkerID]heldTicket
 	// refused workers may never run the step.
@@ -49,8 +50,8 @@
 	until time.Duration
 }
 
-// advised returns the workers that have a ticket for a step, and asks for more
-// if there are few.
+// workersWithTicket returns the workers that have a ticket for a step, and requests more
+// tickets if there are few.
 func (c *Core) advised(s *stepRun, pool []*worker, terms job.AdviceTerms, now Instant) []*worker {
 	if s.advice == nil {
 		s.advice = &advice{tickets: map[WorkerID]heldTicket{}, refused: map[WorkerID]bool{}}
@@ -67,7 +68,7 @@
 	return allowed
 }
 
-// askAdvice asks for those workers that would be chosen first.
+// requestAdvice requests tickets for those workers that would be chosen first.
 func (c *Core) askAdvice(s *stepRun, pool []*worker, terms job.AdviceTerms, now Instant) {
 	a := s.advice
 	if a.asking || now.Steady < a.retryAt {
@@ -98,14 +99,14 @@
 	c.asks = append(c.asks, req)
 }
 
-// TakeAsks returns the requests for advice since the last call.
+// TakeAdviceRequests returns the requests for advice since the last call.
 func (c *Core) TakeAsks() []AdviceRequest {
 	asks := c.asks
 	c.asks = nil
 	return asks
 }
 
-// AdviceDone takes in an answer of the placement policy; ok is false if there
+// AdviceDone processes an answer of the placement policy; ok is false if there
 // was none.
 func (c *Core) AdviceDone(req AdviceRequest, good []Ticket, ok bool, now Instant) {
 	t := c.findTask(req.Task)
@@ -137,7 +138,7 @@
 	return s.advice.tickets[w.info.ID].text
 }
 
-// dropTicket forgets a ticket that a worker refused.
+// dropTicket deletes a ticket that a worker refused.
 func (c *Core) dropTicket(a *attempt) {
 	if s := a.task.step; s.advice != nil {
 		delete(s.advice.tickets, a.worker.info.ID)
--- a/dispatch/evacuation.go
+++ b/dispatch/evacuation.go
@@ -3,16 +3,16 @@
 import "fmt"
 
 // Evacuated data centres. From when the operators evacuate a data centre until
-// they take that back, its workers get no new tasks: no first start, no restart,
-// no member of a gang, no time of a repeated job. What runs there goes on and
-// keeps its leases: an evacuation asks that nothing more is sent, and to move
-// lasting tasks would cost each of them a second or more of work. A task that
-// ends there by itself, and must run again, goes elsewhere. If all data centres
+// they revoke that, its workers get no new tasks: no first start, no restart,
+// no member of a gang, no occurrence of a repeated job. Tasks that run there go on and
+// keep their leases: an evacuation only asks that nothing more is sent, and moving
+// long-running tasks would cost each of them a second or more of work. A task that
+// ends there by itself, and must run again, starts elsewhere. If all data centres
 // are evacuated, tasks wait.
 
-// SetEvacuated takes in the data centres that are evacuated, whether they have
-// workers or not. The caller makes sure that it is never older than what an
-// owner acted on before.
+// SetEvacuated sets the data centres that are evacuated, whether they have
+// workers or not. The caller makes sure that the list is never older than one that an
+// owner has acted on before.
 func (c *Core) SetEvacuated(dataCentres []string) {
 	set := make(map[string]bool, len(dataCentres))
 	for _, dc := range dataCentres {
@@ -32,7 +32,7 @@
 	}
 }
 
-// describeDataCentre tells how much of the cell a data centre is, for the log.
+// describeDataCentre returns how many workers and tasks a data centre has, for the log.
 func (c *Core) describeDataCentre(name string) string {
 	workers, running := 0, 0
 	for _, w := range c.order {
--- a/dispatch/explain.go
+++ b/dispatch/explain.go
@@ -2,12 +2,12 @@
 
 import "leverstile.dev/job"
 
-// Explanation tells what is known of a job.
+// Explanation describes a job's state and its tasks for operators.
 type Explanation struct {
 	Known bool      `json:"known"`
 	State job.State `json:"state,omitempty"`
 	Queue string    `json:"queue,omitempty"`
-	// Reason is why it has failed.
+	// Reason is why the job has failed.
 	Reason string `json:"reason,omitempty"`
 	// Persisted is false while the store lacks the newest progress.
 	Persisted bool       `json:"persisted,omitempty"`
@@ -25,19 +25,19 @@
 	Pace     int    `json:"pace,omitempty"`
 	// Crashes is how many workers in a row crashed when it was started.
 	Crashes int `json:"crashes,omitempty"`
-	// ReadyMS is for how long it has been ready.
+	// ReadyMS is for how long the task has been ready.
 	ReadyMS int64 `json:"ready_ms,omitempty"`
 }
 
-// Explain tells where a job's tasks run and why others wait.
+// Explain describes where a job's tasks run and why others wait.
 func (c *Core) Explain(id string, now Instant) Explanation {
 	j := c.jobs[id]
 	if j == nil {
 		return Explanation{}
 	}
 	room := "room"
-	if barred := c.countBarriers(c.queues[j.spec.Queue].Service, now).String(); barred != "" {
-		room += "; workers that get nothing: " + barred
+	if excluded := c.countBarriers(c.queues[j.spec.Queue].Service, now).String(); excluded != "" {
+		room += "; workers that get nothing: " + excluded
 	}
 	e := Explanation{Known: true, State: j.shown, Queue: j.spec.Queue, Reason: j.progress.Reason, Persisted: j.persisted == j.version}
 	for _, s := range j.steps {
@@ -48,7 +48,7 @@
 	return e
 }
 
-// explainTask tells of one task; room is what a ready one waits for.
+// explainTask describes one task; room is what a ready one waits for.
 func (c *Core) explainTask(t *task, room string, now Instant) TaskInfo {
 	info := TaskInfo{Task: t.id().String(), Phase: t.phase.String(), Crashes: t.suspicion()}
 	if a := t.attempt; a != nil {
--- a/dispatch/leaving.go
+++ b/dispatch/leaving.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Figures of moving tasks off a worker that drains.
+// Limits of moving tasks off a worker that drains.
 const (
-	// stopLead before a worker leaves, what still runs there is stopped: a
-	// stop takes up to 0.9 s and its end must still be read.
+	// stopLead before a worker leaves, tasks that still run there are stopped: a
+	// stop takes up to 0.9 s, and the end must still be read.
 	stopLead = 1500 * time.Millisecond
-	// leavingPerTick bounds the lasting tasks that are moved at once, since
-	// the room found for one is taken before the next is looked at only when
-	// it has started there.
+	// leavingPerTick bounds the long-running tasks that are moved in one tick: the
+	// capacity found for one counts as taken only once the task has started there, so
+	// several may be moved on account of the same capacity.
 	leavingPerTick = 4
 )
 
-// noteLeaving takes in how long a draining worker stays. The figure was true
+// recordLeaveTime records how long a draining worker stays. The figure was true
 // when the worker wrote it, so the earliest end that follows from any counts.
 func (c *Core) noteLeaving(w *worker, left time.Duration, now Instant) {
 	at := now.Steady + left
@@ -25,9 +25,9 @@
 	}
 }
 
-// moveOffLeaving moves tasks off workers that are about to leave: lasting tasks as
-// soon as there is room elsewhere, others if they can't end in time. A stop
-// saves a checkpoint, so it comes as late as is safe for those that have one.
+// moveOffLeaving moves tasks off workers that are about to leave: long-running tasks as
+// soon as there is capacity elsewhere, others if they can't end in time. A stop
+// saves a checkpoint, so it comes as late as is safe for tasks that have one.
 func (c *Core) moveOffLeaving(now Instant) {
 	budget := leavingPerTick
 	for _, w := range c.workersInOrder() {
@@ -69,5 +69,5 @@
 }
 
 func (c *Core) workersInOrder() []*worker {
-	return slices.Clone(c.order) // workers may be forgotten meanwhile
+	return slices.Clone(c.order) // callers may remove workers while they iterate
 }
--- a/dispatch/upkeep.go
+++ b/dispatch/upkeep.go
@@ -8,36 +8,36 @@
 	"time"
 )
 
-// Wave is the operators' request that VMs have their upkeep.
+// Wave is the operators' request for maintenance of VMs, a few of them at a time.
 type Wave struct {
 	Number int64
 	VMs    []string
-	// Allowed is the time for all of it; AtOnce is the most VMs that may be
+	// Allowed is the time for the whole wave; AtOnce is the most VMs that may be
 	// down for it at a time.
 	Allowed time.Duration
 	AtOnce  int
 }
 
-// UpkeepOrder asks the platform to take a VM down for its upkeep.
+// MaintenanceOrder asks the platform to take a VM down for its maintenance.
 type UpkeepOrder struct {
 	Wave int64
 	VM   string
 	Term uint64
 }
 
-// UpkeepOutcome is what is known of an UpkeepOrder.
+// MaintenanceOutcome is the result of a MaintenanceOrder.
 type UpkeepOutcome uint8
 
-// Outcomes. An order that was carried out before is answered with UpkeepBegun.
+// Outcomes. An order that was carried out before is answered with MaintenanceStarted.
 const (
 	UpkeepBegun UpkeepOutcome = iota
-	// UpkeepUnknown: no answer; it may have been carried out.
+	// MaintenanceUnknown: no answer; the order may have been carried out.
 	UpkeepUnknown
-	// UpkeepBusy: the VM is not up.
+	// MaintenanceBusy: the VM is not up.
 	UpkeepBusy
-	// UpkeepFenced: a higher term has given an order for the VM.
+	// MaintenanceFenced: an owner with a higher term has given an order for the VM.
 	UpkeepFenced
-	// UpkeepNotWanted: the VM does not exist or is not part of the wave.
+	// MaintenanceNotWanted: the VM does not exist or is not part of the wave.
 	UpkeepNotWanted
 )
 
@@ -46,38 +46,38 @@
 	return [...]string{"begun", "unknown", "busy", "fenced", "not_wanted"}[o]
 }
 
-// Figures of upkeep.
+// Timeouts of maintenance.
 const (
-	// UpkeepTimeout bounds a call for upkeep. An order is only given while the
-	// lease surely lasts that long.
+	// MaintenanceTimeout bounds a call to the platform. An order is only given while the
+	// lease is held for certain for that long.
 	UpkeepTimeout = 600 * time.Millisecond
 	// upkeepRetry is the pause before an order is repeated.
 	upkeepRetry = 500 * time.Millisecond
-	// upkeepLongest after its upkeep has begun, a VM without a new worker counts
+	// upkeepLongest after its maintenance has started, a VM without a new worker counts
 	// as up: the platform needs 2 s and workers list themselves within 2 s more.
 	upkeepLongest = 10 * time.Second
 )
 
-// vmUpkeep is one VM of a wave.
+// vmMaintenance is the maintenance of one VM of a wave.
 type vmUpkeep struct {
 	vm string
-	// life is the worker that is drained for the upkeep, empty before.
+	// life is the worker that is drained for the maintenance, empty before.
 	life WorkerID
-	// drainUntil ends the patience with tasks that save nothing.
+	// drainUntil is until when tasks without checkpoints may go on.
 	drainUntil time.Duration
 	// intended is set before the first order is given, and recorded: from then
-	// on the VM may be down. begun is set once the platform has said so.
+	// on the VM may be down. begun is set once the platform has confirmed the order.
 	intended, begun bool
 	begunAt         time.Duration
-	// back is set once the upkeep is over, void if there is none to be had.
+	// back is set once the maintenance has ended, void if the platform does not want it.
 	back, void bool
-	calling    bool
+	calling    bool // an order is unanswered
 	retryAt    time.Duration
 	// absentSince is since when no worker of the VM is listed, 0 if one is.
 	absentSince time.Duration
 }
 
-// waveState is a wave under way. version counts changes of what is recorded,
+// waveState is a wave in progress. version counts changes of what is recorded,
 // persisted is the version that the store has.
 type waveState struct {
 	Wave
@@ -88,7 +88,7 @@
 	version, persisted uint64
 }
 
-// SetWave takes in a wave; record is what the previous owner left of it, or nil.
+// SetWave adds a wave; record is the state that the previous owner stored, or nil.
 func (c *Core) SetWave(wave Wave, record []byte, now Instant) error {
 	if c.waves[wave.Number] != nil {
 		return nil
@@ -121,7 +121,7 @@
 	return "wave " + strconv.FormatInt(s.Number, 10) + ", " + strconv.Itoa(len(s.VMs)) + " VMs, " + strconv.Itoa(s.AtOnce) + " at once"
 }
 
-// tickUpkeep moves each wave on by what its VMs allow.
+// tickMaintenance advances each wave as far as the state of its VMs allows.
 func (c *Core) tickUpkeep(now Instant) {
 	for _, number := range slices.Sorted(maps.Keys(c.waves)) {
 		if s := c.waves[number]; !s.succeeded {
@@ -133,7 +133,7 @@
 	}
 }
 
-// noteReturned finds the VMs that have a new worker after their upkeep.
+// recordReturned finds the VMs that have a new worker after their maintenance.
 func (c *Core) noteReturned(s *waveState, now Instant) {
 	for _, u := range s.vms {
 		if !u.begun || u.back {
@@ -176,9 +176,9 @@
 // takeDown records the intent to take empty VMs down, as many as may be down at
 // once, and gives the orders whose intent is recorded.
 func (c *Core) takeDown(s *waveState, now Instant) {
-	sure := now.Steady+UpkeepTimeout < c.certainUntil
-	if !sure || now.Steady < c.firstRenewed+c.params.HolderGap {
-		return // another owner may order, or may have until a moment ago
+	holdsLease := now.Steady+UpkeepTimeout < c.certainUntil
+	if !holdsLease || now.Steady < c.firstRenewed+c.params.HolderGap {
+		return // another owner may give orders, or may have done so just before
 	}
 	free := s.AtOnce - s.down()
 	for _, u := range s.vms {
@@ -203,7 +203,7 @@
 	return w.synced && len(w.attempts) == 0 && len(w.foreign) == 0
 }
 
-// finishWave notes that all VMs of a wave have had their upkeep.
+// finishWave ends a wave once the maintenance of all its VMs has ended.
 func (c *Core) finishWave(s *waveState) {
 	for _, u := range s.vms {
 		if !u.back && !u.void {
@@ -222,7 +222,7 @@
 	return list
 }
 
-// UpkeepDone takes in the answer to an UpkeepOrder.
+// MaintenanceDone processes the answer to a MaintenanceOrder.
 func (c *Core) UpkeepDone(o UpkeepOrder, outcome UpkeepOutcome, now Instant) {
 	s := c.waves[o.Wave]
 	if s == nil {
--- a/dispatch/upkeep_drain.go
+++ b/dispatch/upkeep_drain.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// Figures of draining VMs for upkeep.
+// Timeouts of draining VMs for maintenance.
 const (
-	// absentLong after its last worker was listed, a VM is asked for all the
-	// same: workers that live are listed again within 2 s.
+	// absentLong after its last worker was listed, a VM without a worker counts as
+	// vacant: workers that live are listed again within 2 s.
 	absentLong = 6 * time.Second
-	// drainLeast and drainMost bound how long tasks that save nothing may go on
-	// at a VM that waits for its upkeep; drainSlack is kept of the wave's time.
+	// drainLeast and drainMost bound how long tasks without checkpoints may go on at a VM
+	// that waits for its maintenance; drainSlack is reserved from the wave's time.
 	drainLeast = 300 * time.Millisecond
 	drainMost  = 4 * time.Second
 	drainSlack = 1 * time.Second
@@ -49,7 +49,7 @@
 	}
 }
 
-// noteListed follows for how long a VM has had no listed worker.
+// trackListed records since when a VM has had no listed worker.
 func (u *vmUpkeep) noteListed(listed bool, now Instant) {
 	switch {
 	case listed:
@@ -60,7 +60,7 @@
 }
 
 // vacant reports whether nothing runs on a VM and nothing can start there: its
-// worker is cordoned and empty, or has not been listed for long.
+// worker is cordoned and empty, or has not been listed for absentLong.
 func (c *Core) vacant(u *vmUpkeep, now Instant) bool {
 	if u.absentSince > 0 {
 		return now.Steady-u.absentSince > absentLong && !c.hasTasksOn(u.vm)
@@ -73,7 +73,7 @@
 	return slices.ContainsFunc(c.lives[vm], func(w *worker) bool { return len(w.attempts) > 0 })
 }
 
-// cordon keeps new tasks off a worker that waits for its VM's upkeep.
+// cordon keeps new tasks off a worker whose VM waits for its maintenance.
 func (c *Core) cordon(s *waveState, u *vmUpkeep, w *worker, now Instant) {
 	u.life = w.info.ID
 	u.drainUntil = now.Steady + c.patience(s, now)
@@ -81,8 +81,8 @@
 	c.trace(Decision{Event: "vm_cordoned", Worker: w.info.ID, Reason: u.vm, Age: u.drainUntil - now.Steady})
 }
 
-// patience returns how long tasks that save nothing may go on at a VM that is
-// cordoned now: its part of what is left of the wave's time.
+// drainTimeout returns how long tasks without checkpoints may go on at a VM that is
+// cordoned now: its share of the time that is left to the wave.
 func (c *Core) patience(s *waveState, now Instant) time.Duration {
 	open := 0
 	for _, u := range s.vms {
@@ -95,10 +95,10 @@
 	return min(max(left/time.Duration(steps)-c.params.Maintenance-drainSlack, drainLeast), drainMost)
 }
 
-// drainForUpkeep moves tasks off a cordoned worker. Those that save their work
-// go at once, others only when the patience with them has ended; lasting ones
-// only while enough of their step are at work.
-func (c *Core) drainForUpkeep(w *worker, impatient bool, now Instant) {
+// drainForMaintenance moves tasks off a cordoned worker. Tasks with checkpoints move
+// at once, others only after the drain timeout; long-running ones only while enough
+// tasks of their step are available.
+func (c *Core) drainForUpkeep(w *worker, timedOut bool, now Instant) {
 	for _, a := range slices.Clone(w.attempts) {
 		if a.stopping || a.task.phase != phaseRunning {
 			continue
@@ -106,41 +106,41 @@
 		s := a.task.step.spec
 		switch {
 		case s.Lasting:
-			if a.task.mayLeave() && (impatient || c.hasRoomElsewhere(a.task, now)) {
+			if a.task.mayLeave() && (timedOut || c.hasRoomElsewhere(a.task, now)) {
 				c.move(a, "its VM has upkeep", now)
 			}
-		case s.Checkpoints && now.Steady-a.started > moveAge, impatient:
+		case s.Checkpoints && now.Steady-a.started > moveAge, timedOut:
 			c.move(a, "its VM has upkeep", now)
 		}
 	}
 }
 
-// mayLeave reports whether a lasting task may be stopped: fewer than MaxAway of
-// the others of its step may be away.
+// mayStop reports whether a long-running task may be stopped: fewer than MaxAway of
+// the others of its step may be unavailable.
 func (t *task) mayLeave() bool {
 	return t.step.spec.MaxAway == 0 || t.othersAway() < t.step.spec.MaxAway
 }
 
-// othersAway returns how many other tasks of a lasting step are not at work.
+// othersUnavailable returns how many other tasks of a long-running step are unavailable.
 func (t *task) othersAway() int {
-	away := 0
+	unavailable := 0
 	for _, other := range t.step.tasks {
 		if other != t && !other.atWork() {
-			away++
+			unavailable++
 		}
 	}
-	return away
+	return unavailable
 }
 
-// atWork reports whether a lasting task was past its start in the newest list. One at a
-// worker that has not answered since may be gone.
+// available reports whether a long-running task was past its start in the newest list. One
+// at a worker that has not answered since may have ended.
 func (t *task) atWork() bool {
 	a := t.attempt
 	return a != nil && t.phase == phaseRunning && !a.stopping && a.atWork && !a.worker.unreached()
 }
 
-// workerOfVM returns the listed worker of a VM, nil if there is none. The last
-// life of a VM may still be listed beside the next one, which is the one meant.
+// workerOfVM returns the listed worker of a VM, nil if there is none. The previous
+// incarnation may still be listed beside the current one, which is returned.
 func (c *Core) workerOfVM(vm string) *worker {
 	var found *worker
 	for _, w := range c.lives[vm] {
--- a/dispatch/upkeep_record.go
+++ b/dispatch/upkeep_record.go
@@ -14,14 +14,14 @@
 }
 
 type vmRecord struct {
-	// Life and Born name the worker's life that is to end by it.
+	// Life and Born identify the incarnation of the worker that the maintenance ends.
 	Life  string `json:"life"`
 	Born  int64  `json:"born,omitempty"`
 	Begun bool   `json:"begun,omitempty"`
 	Void  bool   `json:"void,omitempty"`
 }
 
-// WaveRecord is a wave's state to be written.
+// WaveRecord is a wave's state as it is to be written to the store.
 type WaveRecord struct {
 	Number    int64
 	Value     []byte
@@ -53,7 +53,7 @@
 	return r
 }
 
-// WavePersisted tells that the store holds the record.
+// WavePersisted records that the store holds the record.
 func (c *Core) WavePersisted(r *WaveRecord) {
 	if s := c.waves[r.Number]; s != nil {
 		s.persisted = max(s.persisted, r.version)
