--- a/dispatch/admit_test.go
+++ b/dispatch/admit_test.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// TestLastingJobWithoutRoomIsRefused, with the time in which others leave that much, while one
-// that finds room, and one that is known already, are taken.
+// TestLongRunningJobWithoutCapacityIsRefused: such a job is refused with the time in which other jobs
+// free that much; one that has capacity, or that is known already, is admitted.
 func TestLastingJobWithoutRoomIsRefused(t *testing.T) {
 	core, now := keptCore(t, 40)
 	if a := core.Admit(lastingJob(1, 20), now); a.Refused {
-		t.Fatalf("refused in a pool with room: %s", a.Reason)
+		t.Fatalf("refused in a pool with capacity: %s", a.Reason)
 	}
 	large := lastingJob(2, 1000)
 	a := core.Admit(large, now)
 	if !a.Refused || a.RetryAfter != retryMost {
-		t.Errorf("a job that does not fit, where nothing leaves: %+v", a)
+		t.Errorf("a job without capacity, where no task ends: %+v", a)
 	}
 	core.keptOf("svc").left.mean = 150_000 // thousandths of a core a second
 	if b := core.Admit(large, now); !b.Refused || b.RetryAfter >= retryMost || b.RetryAfter < retryLeast {
-		t.Errorf("where others leave, it is asked back after %v", b.RetryAfter)
+		t.Errorf("where other tasks end, the retry is due after %v", b.RetryAfter)
 	}
 	core.AddJob(large, nil, false, now)
 	if a := core.Admit(large, now); a.Refused {
@@ -27,8 +27,8 @@
 	}
 }
 
-// TestShortJobIsRefusedWhenItCannotBeOfUse: behind a line that takes longer to start than the job
-// is worth anything, and not before.
+// TestLateShortJobIsRefused: a short job is refused behind tasks that take longer to start than
+// the job is of use, and not otherwise.
 func TestShortJobIsRefusedWhenItCannotBeOfUse(t *testing.T) {
 	core, now := idleCore(t, 4)
 	spec := simpleJob(1, 4)
@@ -42,7 +42,7 @@
 	}
 }
 
-// TestCrowdedAfterAWhile: a burst that is placed within a pass or two asks nothing of entries.
+// TestCrowdedAfterSustainedWaiting: a burst that is placed within a pass or two does not make entries ask.
 func TestCrowdedAfterAWhile(t *testing.T) {
 	core, now := idleCore(t, 1)
 	spec := simpleJob(1, 40)
--- a/dispatch/attempts_test.go
+++ b/dispatch/attempts_test.go
@@ -7,7 +7,7 @@
 	"leverstile.dev/job"
 )
 
-// endRound has all runs that can be started end alike, and returns how many there were.
+// endRound starts all tasks that can start, ends each run with kind, and returns their number.
 func endRound(core *Core, now *Instant, number *uint64, kind EndKind) int {
 	now.Steady += 2 * avoidMax // past all pauses after failures
 	core.Schedule(*now)
@@ -21,8 +21,8 @@
 	return len(list)
 }
 
-// TestWhatUsesAttempts: only runs that failed do, those of a gang together, and none of a task
-// that lasts.
+// TestOnlyFailedRunsUseAttempts guards against attempts that are used up by runs that did not
+// fail or by long-running tasks, and against a gang's failure that is counted once for each member.
 func TestWhatUsesAttempts(t *testing.T) {
 	const attempts = 2
 	for name, c := range map[string]struct {
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestGangThatLostMembersWithItsOwnerStartsAnew: what is left of it is stopped, and then all start
-// under one new run.
+// TestGangRestartsIfMembersAreLostWithItsOwner: after a takeover that lost a member of a gang, the
+// other members are stopped, and then all start under one new run.
 func TestGangThatLostMembersWithItsOwnerStartsAnew(t *testing.T) {
 	now := Instant{Steady: time.Second}
 	core := sureCore(Params{RecoveryWait: 10 * time.Second}, 2, now)
@@ -78,7 +78,7 @@
 	core.HoldDone(core.PlanHold("w0", now).Order, HoldReply{ClockMS: 1000, Running: rows}, OutcomeOK, now)
 	core.Tick(now)
 	if started, stopped := ordersOf(core); started+stopped != 0 {
-		t.Fatalf("%d starts and %d stops while the third may run", started, stopped)
+		t.Fatalf("%d starts and %d stops while the third member may run", started, stopped)
 	}
 	now.Steady += 11 * time.Second
 	for range suspectAfter {
@@ -87,7 +87,7 @@
 	core.HoldDone(core.PlanHold("w0", now).Order, HoldReply{ClockMS: 12_000, Running: rows}, OutcomeOK, now)
 	core.Tick(now)
 	if started, stopped := ordersOf(core); started != 0 || stopped != 2 {
-		t.Fatalf("%d starts and %d stops once the third is gone, want 2 stops", started, stopped)
+		t.Fatalf("%d starts and %d stops once the third member is lost, want 2 stops", started, stopped)
 	}
 	var ended []EndedTask
 	for i, row := range rows {
@@ -97,12 +97,12 @@
 	core.Schedule(now)
 	list := starts(core)
 	if len(list) != 3 || list[0].Run != list[1].Run || list[0].Run != list[2].Run || list[0].Run>>runBits != 2 {
-		t.Errorf("started anew: %+v", list)
+		t.Errorf("starts of the new run: %+v", list)
 	}
 }
 
-// TestGangAwaitsItsLastMember: none starts while one may still run where the previous owner
-// started it.
+// TestGangWaitsWhileAMemberMayRun: no member starts while one may still run where the previous
+// owner started it.
 func TestGangAwaitsItsLastMember(t *testing.T) {
 	now := Instant{Steady: time.Second}
 	core := sureCore(Params{RecoveryWait: 10 * time.Second}, 2, now)
@@ -125,7 +125,7 @@
 	}
 }
 
-// TestGangFailsAsOne: a run of which one member fails uses one attempt, whichever it was.
+// TestGangFailureUsesOneAttempt: a run in which one member fails uses one attempt, whichever it was.
 func TestGangFailsAsOne(t *testing.T) {
 	core, now := idleCore(t, 1)
 	core.SetConfig(&job.Config{Version: 2, Queues: []job.Queue{{Name: "q", Service: "svc", MaxAttempts: 2, Stretch: 2}}})
--- a/dispatch/away_test.go
+++ b/dispatch/away_test.go
@@ -7,8 +7,8 @@
 	"leverstile.dev/job"
 )
 
-// TestTasksAtSilentWorkersCountAsAway: a lasting task whose worker has not answered for long may
-// be gone, so no other of its step is moved beyond what the step can miss.
+// TestTasksAtSilentWorkersCountAsUnavailable: a long-running task whose worker has not answered for
+// long may have ended, so no other of its step is moved beyond the step's MaxAway.
 func TestTasksAtSilentWorkersCountAsAway(t *testing.T) {
 	core, now := idleCore(t, 3)
 	spec := simpleJob(1, 2)
@@ -24,20 +24,20 @@
 		reply := HoldReply{ClockMS: 1100, Running: []RunningTask{{Task: o.Task, Run: o.Run, Percent: fullPace}}}
 		core.HoldDone(core.PlanHold(o.Worker, now).Order, reply, OutcomeOK, now)
 	}
-	sound, silent := core.findTask(list[0].Task), list[1].Worker
-	if !sound.mayLeave() {
-		t.Fatal("a task may not leave while the other is at work")
+	available, silent := core.findTask(list[0].Task), list[1].Worker
+	if !available.mayLeave() {
+		t.Fatal("a task may not be stopped while the other is available")
 	}
 	for range suspectAfter {
 		now.Steady += 500 * time.Millisecond
 		core.HoldDone(core.PlanHold(silent, now).Order, HoldReply{}, OutcomeUnknown, now)
 	}
-	if sound.mayLeave() {
-		t.Error("a task may leave while the other's worker is silent")
+	if available.mayLeave() {
+		t.Error("a task may be stopped while the other's worker is silent")
 	}
 }
 
-// TestTasksThatStartCountAsAway: a lasting task is at work only once it is past its start.
+// TestStartingTasksCountAsUnavailable: a long-running task is available only once it is past its start.
 func TestTasksThatStartCountAsAway(t *testing.T) {
 	core, now := idleCore(t, 1)
 	spec := simpleJob(1, 2)
@@ -52,12 +52,13 @@
 		}
 		core.HoldDone(core.PlanHold("w0", now).Order, reply, OutcomeOK, now)
 		if got := core.findTask(reply.Running[0].Task).mayLeave(); got != want {
-			t.Errorf("a task may leave while the other is at %d%%: %v, want %v", percent, got, want)
+			t.Errorf("a task may be stopped while the other is at %d%%: %v, want %v", percent, got, want)
 		}
 	}
 }
 
-// TestOnlyFillsThatSaveMakeRoom: neither lasting tasks nor others are stopped for more urgent ones.
+// TestOnlyCheckpointedFillsArePreempted: neither long-running tasks nor short ones, nor fill tasks
+// that would lose their work, are stopped for more urgent tasks.
 func TestOnlyFillsThatSaveMakeRoom(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(s *job.Step)
@@ -87,7 +88,7 @@
 	}
 }
 
-// TestUnansweredStartIsNotRepeatedAtADrainingWorker: once a worker says that it drains, a start
+// TestUnansweredStartIsNotRepeatedAtADrainingWorker: once a worker reports that it drains, a start
 // that got no answer before is not sent there again.
 func TestUnansweredStartIsNotRepeatedAtADrainingWorker(t *testing.T) {
 	for _, draining := range []bool{false, true} {
--- a/dispatch/cancel_test.go
+++ b/dispatch/cancel_test.go
@@ -7,7 +7,7 @@
 	"leverstile.dev/job"
 )
 
-// ordersOf returns how many starts and stops were decided.
+// ordersOf takes the orders and returns how many starts and stops are among them.
 func ordersOf(core *Core) (started, stopped int) {
 	for _, o := range core.TakeOrders() {
 		switch o.Kind {
@@ -20,8 +20,8 @@
 	return started, stopped
 }
 
-// TestCancelledJobStopsAndStaysStopped: whatever its tasks do when its cancellation is heard of,
-// what runs is stopped until it is gone, and nothing starts.
+// TestCancelledJobStopsForGood: however its runs end after the cancellation is received, running
+// tasks are stopped until they have ended, and none starts again.
 func TestCancelledJobStopsAndStaysStopped(t *testing.T) {
 	for _, kind := range []EndKind{EndStopped, EndFailed, EndDone, EndLapsed} {
 		for name, change := range map[string]func(s *job.Step){
@@ -67,10 +67,10 @@
 	}
 }
 
-// TestCancelledTasksThatWaitNeverStart: neither those that lack room, nor those whose time comes
-// later, nor any of a job that was cancelled before it was heard of.
+// TestCancelledTasksThatWaitNeverStart guards against starts of cancelled tasks that wait for
+// capacity or for their time, or whose job is received or added after its cancellation.
 func TestCancelledTasksThatWaitNeverStart(t *testing.T) {
-	for name, hear := range map[string]func(core *Core, spec *job.Spec, now Instant){
+	for name, submit := range map[string]func(core *Core, spec *job.Spec, now Instant){
 		"cancelled later": func(core *Core, spec *job.Spec, now Instant) {
 			core.AddJob(spec, nil, false, now)
 			core.Cancel(spec.ID, now)
@@ -80,11 +80,11 @@
 			core.AddJob(spec, nil, false, now)
 		},
 		"cancelled before a sure lease": func(core *Core, spec *job.Spec, now Instant) {
-			sure := core.certainUntil
+			certainUntil := core.certainUntil
 			core.certainUntil = now.Steady
 			core.AddJob(spec, nil, false, now)
 			core.Cancel(spec.ID, now)
-			core.certainUntil = sure
+			core.certainUntil = certainUntil
 		},
 	} {
 		for _, delay := range []int64{0, 500} {
@@ -93,7 +93,7 @@
 			if delay > 0 {
 				spec.Occurrences, spec.FirstDueMS, spec.IntervalMS = 2, now.UnixMS+delay, 300
 			}
-			hear(core, spec, now)
+			submit(core, spec, now)
 			for range 20 {
 				now.Steady += 100 * time.Millisecond
 				now.UnixMS += 100
--- a/dispatch/checkpoint_rapid_test.go
+++ b/dispatch/checkpoint_rapid_test.go
@@ -11,24 +11,24 @@
 	"leverstile.dev/job"
 )
 
-// checkpointModel tells a core lists and ends in any order, and keeps what it was told.
+// checkpointModel sends a core lists and ends in any order, and records the expected checkpoints.
 type checkpointModel struct {
 	core *Core
 	now  Instant
 	spec *job.Spec
-	// unread holds the lives whose lists were not read yet.
+	// unread holds the incarnations whose lists were not read yet.
 	unread map[WorkerID]bool
-	// workers are the lives that are there, lives how many there were.
+	// workers are the current incarnations, lives counts all that there were.
 	workers []WorkerID
 	lives   int
 	clock   int64
 	ends    map[WorkerID]uint64
-	// newest is the highest run that told a text of a task or gang, told the last that it told.
+	// newest is the highest run that reported a text of a task or gang, told its last text.
 	newest map[job.TaskID]uint64
 	told   map[job.TaskID]string
 	// started holds the runs of each task that the core ordered, in their order.
 	started map[job.TaskID][]startedRun
-	// sent holds answers that may come once more.
+	// sent holds replies that may be repeated.
 	sent []checkpointReply
 }
 
@@ -37,7 +37,7 @@
 	reply  HoldReply
 }
 
-// of returns the task that stands for all that share a checkpoint.
+// checkpointTask returns the task that represents all that share a checkpoint.
 func (m *checkpointModel) of(id job.TaskID) job.TaskID {
 	if m.spec.Steps[id.Step].Gang {
 		id.Index = 0
@@ -46,7 +46,7 @@
 }
 
 // drawRun draws a task, a run of it and its worker. The run is one that the core ordered there,
-// an earlier owner's, or one that nobody can have ordered there.
+// an earlier owner's, or one that no owner can have ordered there.
 func (m *checkpointModel) drawRun(t *rapid.T) (id job.TaskID, run uint64, worker WorkerID) {
 	id = job.TaskID{Job: m.spec.ID, Occurrence: rapid.IntRange(0, m.spec.Times()-1).Draw(t, "occurrence"), Step: rapid.IntRange(0, len(m.spec.Steps)-1).Draw(t, "step")}
 	id.Index = rapid.IntRange(0, m.spec.Steps[id.Step].Count-1).Draw(t, "index")
@@ -72,7 +72,7 @@
 	return 0 < term && term < m.core.term && m.unread[worker]
 }
 
-// tell notes a text, as of a run of the task, unless it does not count.
+// record records a text as reported by a run of the task, unless it does not count.
 func (m *checkpointModel) tell(id job.TaskID, run uint64, worker WorkerID, text string) {
 	if text == "" || !m.spec.Steps[id.Step].Checkpoints || !m.counts(id, run, worker) {
 		return
@@ -90,7 +90,7 @@
 	m.core.HoldDone(HoldOrder{Worker: worker}, reply, OutcomeOK, m.now)
 }
 
-// end has a worker tell the end of a run.
+// end has a worker report the end of a run.
 func (m *checkpointModel) end(t *rapid.T) {
 	id, run, worker := m.drawRun(t)
 	text := m.drawText(t, id, run)
@@ -109,7 +109,7 @@
 	id, run, worker := m.drawRun(t)
 	a := m.core.findTask(id).attempt
 	if a == nil || a.run != run || a.worker.info.ID != worker {
-		return // the row of a run that is not expected tells nothing
+		return // the row of a run that is not expected has no effect
 	}
 	text := m.drawText(t, id, run)
 	m.clock++
@@ -125,7 +125,7 @@
 	return fmt.Sprintf("%s/%d/%d", m.of(id), run, rapid.IntRange(0, 9).Draw(t, "work"))
 }
 
-// running returns the rows of what a worker runs but one task.
+// running returns the rows of what a worker runs, except one task.
 func (m *checkpointModel) running(worker WorkerID, except job.TaskID) []RunningTask {
 	var rows []RunningTask
 	for _, a := range m.core.workers[worker].attempts {
@@ -141,7 +141,7 @@
 	m.answer(worker, reply)
 }
 
-// repeat has an answer come once more.
+// repeat sends an earlier reply once more.
 func (m *checkpointModel) repeat(t *rapid.T) {
 	if len(m.sent) > 0 {
 		r := rapid.SampledFrom(m.sent).Draw(t, "answer")
@@ -149,7 +149,7 @@
 	}
 }
 
-// begin lists a new life of a worker, which answers.
+// addIncarnation lists a new incarnation of a worker, which answers.
 func (m *checkpointModel) begin(i int) {
 	m.lives++
 	id := WorkerID(fmt.Sprintf("w%d-%d", i, m.lives))
@@ -163,14 +163,14 @@
 	m.unread[id] = true
 }
 
-// read has a worker answer whose lists may not have been read, with nothing new.
+// read has a worker whose lists may not have been read answer with nothing new.
 func (m *checkpointModel) read(t *rapid.T) {
 	worker := rapid.SampledFrom(m.workers).Draw(t, "read")
 	m.clock++
 	m.answer(worker, HoldReply{ClockMS: m.clock, Running: m.running(worker, job.TaskID{})})
 }
 
-// restart ends a worker's life, and another one begins.
+// restart ends a worker's incarnation and adds the next one.
 func (m *checkpointModel) restart(t *rapid.T) {
 	const mostLives = 5 // tasks that meet more crashes are given up
 	if m.lives == mostLives {
@@ -191,7 +191,7 @@
 	}
 }
 
-// check compares what each task's next start brings with what was told.
+// check compares the checkpoint of each task's next start with the one that was reported.
 func (m *checkpointModel) check(t *rapid.T) {
 	for _, s := range m.core.jobs[m.spec.ID].steps {
 		for _, task := range s.tasks {
@@ -201,13 +201,13 @@
 }
 
 func (m *checkpointModel) checkText(t *rapid.T, id job.TaskID, text string) {
-	if told := m.told[m.of(id)]; text != told {
-		t.Fatalf("task %s brings %q; its newest run %d told %q", id, text, m.newest[m.of(id)], told)
+	if reported := m.told[m.of(id)]; text != reported {
+		t.Fatalf("task %s starts with checkpoint %q; its newest run %d reported %q", id, text, m.newest[m.of(id)], reported)
 	}
 }
 
-// TestCheckpointsAreOfTheNewestRun: whatever lists and ends are told, in any order and more than
-// once, a task brings the last text told of it or its gang by the newest run that told one.
+// TestCheckpointIsOfNewestRun: whatever lists and ends are reported, in any order and repeatedly, a
+// task starts with the last text of the newest run, of it or its gang, that reported one.
 func TestCheckpointsAreOfTheNewestRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newCheckpointModel()
--- a/dispatch/checkpoint_test.go
+++ b/dispatch/checkpoint_test.go
@@ -7,7 +7,7 @@
 	"leverstile.dev/job"
 )
 
-// checkpointCore is a core with idle workers and a job, of which a test tells what workers list.
+// checkpointCore is a core with idle workers and a job, whose lists a test makes up.
 type checkpointCore struct {
 	*testing.T
 	core  *Core
@@ -49,7 +49,7 @@
 	return x.orders[job.TaskID{Job: simpleJob(1, 1).ID, Index: index}]
 }
 
-// list has a worker list these rows and ends; ends get their numbers.
+// list has a worker list these rows and ends, and numbers the ends.
 func (x *checkpointCore) list(id WorkerID, running []RunningTask, ended ...EndedTask) {
 	x.clock += 20
 	for i := range ended {
@@ -68,25 +68,25 @@
 	return RunningTask{Task: o.Task, Run: o.Run, Checkpoint: text}
 }
 
-// unread makes all workers such whose lists this owner has not read.
+// markUnread marks the lists of all workers as not read by this owner.
 func (x *checkpointCore) unread() {
 	for _, w := range x.core.workers {
 		w.synced = false
 	}
 }
 
-// brings fails the test unless the newest start of a task is a later one and brings a text.
+// wantCheckpoint fails the test unless a task has started again after before, with a text.
 func (x *checkpointCore) brings(index int, before Order, want string) {
 	x.Helper()
 	switch o := x.order(index); {
 	case o.Run <= before.Run:
 		x.Errorf("task %d did not start again", index)
 	case o.Checkpoint != want:
-		x.Errorf("task %d starts with %q, want %q", index, o.Checkpoint, want)
+		x.Errorf("task %d starts with checkpoint %q, want %q", index, o.Checkpoint, want)
 	}
 }
 
-// A worker told a checkpoint of a task whose step keeps none, and the next start brought it.
+// A checkpoint that a worker reports for a task of a step without checkpoints must not be used.
 func TestStepsWithoutCheckpointsBringNone(t *testing.T) {
 	x := newCheckpointCore(t, 1, func(s *job.Step) { s.Checkpoints = false })
 	first := x.order(0)
@@ -96,8 +96,8 @@
 	x.brings(0, first, "")
 }
 
-// A worker told the end of a run that the owner had not ordered, and the task's next start
-// brought its checkpoint.
+// A checkpoint in the end of a run that the owner has not ordered at that worker must not be used
+// by the task's next start.
 func TestCheckpointsOfUnknownRunsAreNotBrought(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -120,8 +120,8 @@
 	}
 }
 
-// The end of a run that one worker told late, after those of newer runs, replaced their
-// checkpoint: the task went back to where it had been long before.
+// The end of an older run that a worker reports after those of newer runs must not replace their
+// checkpoint: the task would repeat work.
 func TestNewerRunsCheckpointStays(t *testing.T) {
 	core, now := idleCore(t, 2)
 	x := &checkpointCore{T: t, core: core, now: now, clock: 1000, ends: map[WorkerID]uint64{}, orders: map[job.TaskID]Order{}}
@@ -137,8 +137,8 @@
 	x.brings(0, of(2), "newer")
 }
 
-// A member of a gang's earlier run was told to have ended after the next run had ended too:
-// the gang went back to the earlier run's checkpoint.
+// The end of a member of a gang's earlier run, reported after the next run has ended, must not
+// replace the later run's checkpoint.
 func TestNewerGangRunsCheckpointStays(t *testing.T) {
 	core, now := idleCore(t, 2)
 	x := &checkpointCore{T: t, core: core, now: now, clock: 1000, ends: map[WorkerID]uint64{}, orders: map[job.TaskID]Order{}}
@@ -157,8 +157,8 @@
 	x.brings(1, of(1, 2), "newer")
 }
 
-// Two tasks told the same text, as workers may whose texts tell only the work done: each goes
-// on from it, and what one of them tells later is not the other's.
+// Two tasks may report the same text, since some texts hold only the amount of work done: each
+// continues from its own checkpoint, and a later one of either does not affect the other.
 func TestEqualTextsOfTwoTasksAreKeptApart(t *testing.T) {
 	x := newCheckpointCore(t, 2, nil)
 	first, second := x.order(0), x.order(1)
@@ -175,8 +175,8 @@
 	x.brings(1, second, "text")
 }
 
-// An owner that had read all lists of a worker was told there of a run of an earlier term, of a
-// job that it had taken in as new: the start after the failure brought that text.
+// An earlier term's run counts only when a worker's lists are first read. Otherwise a job that was
+// added as new would start with the checkpoint of a run that it can't have had.
 func TestEarlierTermsCountAtTheFirstReadingOnly(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -208,8 +208,8 @@
 	}
 }
 
-// A worker was cut off until its leases were over, the next start elsewhere was refused, and the
-// lapsed run's end, with more work, came only then: its work was done again.
+// A worker is cut off until its leases expire, and the next start elsewhere is refused. The
+// lapsed run's end, which comes only then, has more work, which must not be done again.
 func TestLapsedRunsCheckpointCountsAfterARefusal(t *testing.T) {
 	x := newCheckpointCore(t, 1, nil)
 	first := x.order(0)
@@ -218,7 +218,7 @@
 	x.schedule()
 	second := x.order(0)
 	if second.Worker == first.Worker {
-		t.Fatal("started there again")
+		t.Fatal("the task starts at the same worker again")
 	}
 	x.core.OrderDone(second, Answer{Outcome: OutcomeUnwell, ClockMS: x.clock}, x.now)
 	x.list(first.Worker, nil, endOf(first, EndLapsed, "at 5 s"))
@@ -227,8 +227,8 @@
 	x.brings(0, second, "at 5 s")
 }
 
-// A run that was taken for over is listed again by its worker, whose lists count as unread, and is
-// adopted: what it saves from then on counts.
+// A run that counted as lost is listed again by its worker, whose lists count as unread, and is
+// adopted: checkpoints that it saves from then on count.
 func TestAdoptedRunsCheckpointCounts(t *testing.T) {
 	x := newCheckpointCore(t, 1, nil)
 	first := x.order(0)
@@ -240,7 +240,7 @@
 	x.list(first.Worker, []RunningTask{rowOf(first, "b")})
 	x.list(first.Worker, []RunningTask{rowOf(first, "c")})
 	if a := x.core.findTask(first.Task).attempt; a == nil || a.run != first.Run {
-		t.Fatal("not adopted")
+		t.Fatal("the run is not adopted")
 	}
 	x.list(first.Worker, nil, endOf(first, EndFailed, "d"))
 	x.now.Steady += time.Second
--- a/dispatch/dropped_test.go
+++ b/dispatch/dropped_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestDroppedJobsStayKnown: what is heard of a job that was dropped is no new job, until
-// all news up to the removal of its records have been taken in; then nothing is
-// kept of it.
+// TestDroppedJobsAreNotAddedAgain: a dropped job that is received again is not added as new until
+// all updates up to the removal of its records have been processed; after that, nothing about it
+// is kept.
 func TestDroppedJobsStayKnown(t *testing.T) {
 	c := New(Params{JobKept: time.Second, OwnerTTL: time.Hour, OwnerHorizon: time.Hour, MaxTaskLease: 6 * time.Second}, 1, nil)
 	c.Renewed(0)
@@ -25,20 +25,20 @@
 	if len(c.jobs) != 0 || len(c.Expired(10)) != 3 {
 		t.Fatalf("%d jobs, expired %v", len(c.jobs), c.Expired(10))
 	}
-	hear := func(want int, when string) {
+	submit := func(want int, when string) {
 		t.Helper()
 		for i := 1; i <= 3; i++ {
 			c.AddJob(simpleJob(i, 1), nil, false, now)
 		}
 		if len(c.jobs) != want {
-			t.Errorf("%s: %d jobs are taken for new, want %d", when, len(c.jobs), want)
+			t.Errorf("%s: %d jobs are added as new, want %d", when, len(c.jobs), want)
 		}
 	}
-	hear(0, "while their records are in the store")
+	submit(0, "while their records are in the store")
 	c.Removed(2, 70)
-	hear(0, "after a removal")
+	submit(0, "after a removal")
 	c.IntakeTaken(69)
-	hear(0, "before its news")
+	submit(0, "before its updates")
 	c.IntakeTaken(70)
 	if len(c.dropped.known) != 1 || len(c.dropped.removed) != 0 {
 		t.Errorf("kept: %+v", c.dropped)
@@ -50,8 +50,8 @@
 	}
 }
 
-// TestCancelsOfNoJob: a cancellation of a job that has not come is kept for as long as its
-// hand-in may be under way; a job that comes by then is cancelled, one that comes later is not.
+// TestCancelsOfUnknownJobsExpire: the cancellation of a job that has not come is kept for as long
+// as its submission may be in progress; a job that comes by then is cancelled, a later one is not.
 func TestCancelsOfNoJob(t *testing.T) {
 	now := Instant{Steady: time.Second}
 	core := sureCore(Params{JobKept: time.Hour}, 1, now)
@@ -59,7 +59,7 @@
 	core.Cancel(early.ID, now)
 	core.Cancel(late.ID, now)
 	now.Steady += cancelKept
-	core.Cancel(late.ID, now) // heard of again
+	core.Cancel(late.ID, now) // received again
 	if ids := core.OldCancels(8, now); len(ids) > 0 {
 		t.Fatalf("%v can be removed", ids)
 	}
--- a/dispatch/evacuation_test.go
+++ b/dispatch/evacuation_test.go
@@ -8,8 +8,8 @@
 	"leverstile.dev/job"
 )
 
-// evacuationCore is a core with two workers in each of the data centres a and b, all read and
-// recorded.
+// evacuationCore returns a core with two workers in each of the data centres a and b, whose lists
+// are read and whose roster entries are stored.
 func evacuationCore(t *testing.T) (*Core, Instant) {
 	t.Helper()
 	now := Instant{Steady: time.Minute, UnixMS: 60_000}
@@ -35,8 +35,8 @@
 	return counts
 }
 
-// Plain tasks, gangs, repeated and lasting jobs start in the other data centre only; none starts
-// once the last one is evacuated too, the reason is told, and all start when it is taken back.
+// Every kind of task starts in the other data centre only; none starts once all are evacuated,
+// the reason is explained, and tasks start again once an evacuation is revoked.
 func TestEvacuationHoldsForEveryKindOfTask(t *testing.T) {
 	for name, change := range map[string]func(*job.Spec){
 		"plain":    func(*job.Spec) {},
@@ -66,12 +66,12 @@
 				t.Errorf("starts %v with all evacuated", n)
 			}
 			if why := core.Explain(last.ID, now).Tasks[0].WaitsFor; !strings.Contains(why, "4 evacuated") {
-				t.Errorf("it waits for %q", why)
+				t.Errorf("the task waits for %q", why)
 			}
 			core.SetEvacuated([]string{"b"})
 			core.Schedule(now)
 			if n := startsByDataCentre(core); n["a"] == 0 || n["b"] > 0 {
-				t.Errorf("starts %v with a taken back", n)
+				t.Errorf("starts %v with the evacuation of a revoked", n)
 			}
 		})
 	}
@@ -91,7 +91,8 @@
 	}
 }
 
-// Workers that are still cold get what the warm ones can't take, and nothing before.
+// Workers that are still cold, which run tasks slowly after a start, get tasks only when the warm
+// ones are full.
 func TestColdWorkersComeLast(t *testing.T) {
 	core, now := evacuationCore(t)
 	var list []WorkerInfo
@@ -106,7 +107,7 @@
 	core.AddJob(simpleJob(1, 16), nil, false, now) // as many as the warm ones take
 	core.Schedule(now)
 	if n := startsByDataCentre(core); n["a"] > 0 || n["b"] != 16 {
-		t.Errorf("starts %v beside warm workers with room", n)
+		t.Errorf("starts %v while warm workers have capacity", n)
 	}
 	core.AddJob(simpleJob(2, 4), nil, false, now)
 	core.Schedule(now)
--- a/dispatch/oldercheckpoint_test.go
+++ b/dispatch/oldercheckpoint_test.go
@@ -7,11 +7,9 @@
 	"leverstile.dev/job"
 )
 
-// TestOlderRunsCheckpointReplacesNone: a start brings the checkpoint of the newest run that
-// told one, in whichever order workers tell of the runs.
-//
-// After a takeover workers list ends that the previous owner had taken in and not yet
-// acknowledged, also of several runs of one task.
+// TestEndsAfterTakeoverKeepNewestCheckpoint: a start carries the checkpoint of the newest run that
+// reported one, in whichever order workers report. After a takeover, workers list ends, also of
+// several runs of one task, that the previous owner had processed and not yet acknowledged.
 func TestOlderRunsCheckpointReplacesNone(t *testing.T) {
 	core, now := idleCore(t, 2)
 	core.term = 3
@@ -22,13 +20,13 @@
 	spec.Steps[0].Checkpoints = true
 	core.AddJob(spec, nil, false, now)
 	id := job.TaskID{Job: spec.ID}
-	for i, told := range []struct {
+	for i, reported := range []struct {
 		run  uint64
 		text string
 	}{{2<<runBits | 1, "newer"}, {1<<runBits | 1, "older"}} {
 		now.Steady += 10 * time.Millisecond
 		core.HoldDone(HoldOrder{Worker: core.order[i].info.ID}, HoldReply{ClockMS: 1006, Ended: []EndedTask{
-			{Number: 1, Task: id, Run: told.run, Kind: EndStopped, Checkpoint: told.text},
+			{Number: 1, Task: id, Run: reported.run, Kind: EndStopped, Checkpoint: reported.text},
 		}}, OutcomeOK, now)
 	}
 	core.Schedule(now)
--- a/dispatch/onlyonce_test.go
+++ b/dispatch/onlyonce_test.go
@@ -7,8 +7,8 @@
 	"leverstile.dev/job"
 )
 
-// runningTask is a core that is sure of its lease for two seconds and may order for ten, with two
-// workers and one task that runs at the first of them.
+// runningTask returns a core that holds its lease for certain for two seconds and may give orders
+// for ten, with two workers and one task that runs at the first of them.
 func runningTask(t *testing.T) (core *Core, now Instant, o Order) {
 	t.Helper()
 	core, now = idleCore(t, 2)
@@ -23,8 +23,8 @@
 	return core, now, list[0]
 }
 
-// TestReplacedOwnerStartsNothing: not after a worker has told of a higher term, nor once its right
-// to give orders is over.
+// TestReplacedOwnerStartsNothing: an owner starts nothing once a worker has reported a higher term or
+// its right to give orders has expired; another owner may start the same tasks.
 func TestReplacedOwnerStartsNothing(t *testing.T) {
 	for name, replace := range map[string]func(core *Core, now *Instant, o Order){
 		"fenced by an order": func(core *Core, now *Instant, o Order) {
@@ -45,31 +45,32 @@
 	}
 }
 
-// TestTaskWhoseEndIsUnknownAwaitsASureLease: another owner may know how it ended.
+// TestTaskWhoseEndIsUnknownWaitsForTheLease: a task whose worker was lost starts again only while
+// the lease is held for certain, since another owner may know how the run ended.
 func TestTaskWhoseEndIsUnknownAwaitsASureLease(t *testing.T) {
 	core, now, o := runningTask(t)
 	core.lose(core.workers[o.Worker], "its leases are over", now)
 	now.Steady = core.certainUntil
 	core.Schedule(now)
 	if list := starts(core); len(list) > 0 {
-		t.Error("it starts again while the lease is not sure")
+		t.Error("it starts again while the lease is not held for certain")
 	}
 	core.Renewed(now.Steady)
 	core.Schedule(now)
 	if list := starts(core); len(list) != 1 {
-		t.Errorf("%d starts under a sure lease, want 1", len(list))
+		t.Errorf("%d starts while the lease is held for certain, want 1", len(list))
 	}
 }
 
-// TestEarlierRunThatIsDoneEndsTheTask: a run that was given up turns out to be done, while a later
-// one runs elsewhere.
+// TestEarlierDoneRunEndsTheTask: a run that was given up is reported as done while a later one runs
+// elsewhere. The later one is stopped and the task does not start again.
 func TestEarlierRunThatIsDoneEndsTheTask(t *testing.T) {
 	core, now, o := runningTask(t)
 	core.lose(core.workers[o.Worker], "its leases are over", now)
 	core.Schedule(now)
 	list := starts(core)
 	if len(list) != 1 || list[0].Worker == o.Worker {
-		t.Fatalf("started again: %+v", list)
+		t.Fatalf("starts after the worker is lost: %+v", list)
 	}
 	core.OrderDone(list[0], Answer{Outcome: OutcomeOK, ClockMS: 1001}, now)
 	listEnds(core, o.Worker, 1100, now, EndedTask{Number: 1, Task: o.Task, Run: o.Run, Kind: EndDone})
@@ -84,8 +85,8 @@
 	}
 }
 
-// TestRunsThatAreNotWantedAreStopped: runs of the previous owner, of tasks that are done or of
-// jobs that are over, are stopped again and again until they are gone, and not adopted.
+// TestUnwantedRunsAreStopped: runs of the previous owner, of tasks that are done or of jobs that have
+// ended, are stopped repeatedly until they are no longer listed, and not adopted.
 func TestRunsThatAreNotWantedAreStopped(t *testing.T) {
 	done := func(spec *job.Spec) *job.Progress {
 		p := &job.Progress{State: job.Running}
@@ -129,8 +130,8 @@
 	}
 }
 
-// TestRefusedCopyProvesNothing: if an earlier copy of a start was left unanswered, that one may
-// have been carried out, whatever a later one is answered.
+// TestRefusedCopyDoesNotReleaseUnansweredStart: if an earlier copy of a start got no answer, it may
+// have been carried out, so the refusal of a later copy must not release the task.
 func TestRefusedCopyProvesNothing(t *testing.T) {
 	for _, unanswered := range []bool{false, true} {
 		for _, refusal := range []Outcome{OutcomeOld, OutcomeNoRoom, OutcomeUnwell, OutcomeLate} {
@@ -146,13 +147,13 @@
 			}
 			core.OrderDone(o, Answer{Outcome: refusal, ClockMS: 1001}, now)
 			if released := core.findTask(o.Task).attempt == nil; released == unanswered {
-				t.Errorf("%v, after an unanswered copy %v: given up %v", refusal, unanswered, released)
+				t.Errorf("%v, after an unanswered copy %v: released %v", refusal, unanswered, released)
 			}
 		}
 	}
 }
 
-// TestHeldJobsAreLeftAlone: however often they are heard of.
+// TestHeldJobsDoNotStart: a held job does not start, however often it is received.
 func TestHeldJobsAreLeftAlone(t *testing.T) {
 	core, now := idleCore(t, 1)
 	spec := simpleJob(1, 1)
@@ -165,21 +166,21 @@
 	}
 }
 
-// TestEndOfALifeIsConcludedUnderASureLease: the next owner may have read how the runs there ended
-// before that life was over.
+// TestEndOfIncarnationIsAppliedUnderTheLease: runs of an ended incarnation are given up only while
+// the lease is held for certain: the next owner may have read how they ended.
 func TestEndOfALifeIsConcludedUnderASureLease(t *testing.T) {
 	core, now, o := runningTask(t)
 	now.Steady = core.certainUntil
 	core.HoldDone(HoldOrder{Worker: o.Worker}, HoldReply{}, OutcomeOtherLife, now)
 	core.Tick(now)
 	if core.findTask(o.Task).attempt == nil {
-		t.Error("its run counts as over while the lease is not sure")
+		t.Error("its run counts as ended while the lease is not held for certain")
 	}
 	core.Renewed(now.Steady)
 	now.Steady += 2 * time.Second
 	core.Renewed(now.Steady)
 	core.Tick(now)
 	if a := core.findTask(o.Task).attempt; a != nil && a.run == o.Run {
-		t.Error("its run goes on though its worker's life is over")
+		t.Error("its run goes on though its worker's incarnation has ended")
 	}
 }
--- a/dispatch/pendingbegun_test.go
+++ b/dispatch/pendingbegun_test.go
@@ -6,12 +6,10 @@
 	"leverstile.dev/job"
 )
 
-// TestPendingCountsJobsWhoseStartsCameToNothing: a job has begun once a worker has begun one
-// of its tasks, not when the start is ordered.
-//
-// Users would be told that no job of a queue waits, after all entries were killed: the last
-// owner had ordered the starts, none was carried out, and its record of the jobs said that
-// they run.
+// TestPendingCountsJobsWhoseStartsFailed: a job has started once a worker has started one of its
+// tasks, not when the start is ordered. Otherwise, after all entries were killed, customers see
+// that no job of a queue waits: the last owner had ordered the starts, none was carried out, and
+// its records had the jobs as running.
 func TestPendingCountsJobsWhoseStartsCameToNothing(t *testing.T) {
 	for _, outcome := range []Outcome{OutcomeNoRoom, OutcomeUnwell, OutcomeNotSent, OutcomeUnknown, OutcomeBroken} {
 		t.Run(outcome.String(), func(t *testing.T) {
@@ -44,9 +42,10 @@
 	}
 }
 
-// TestPendingLeavesOutJobsThatHaveBegun: the answer to the start, a list or an end tells.
+// TestPendingExcludesStartedJobs: the answer to the start, a list of running tasks or an end shows
+// that a job has started.
 func TestPendingLeavesOutJobsThatHaveBegun(t *testing.T) {
-	for name, tell := range map[string]func(core *Core, o Order, now Instant){
+	for name, report := range map[string]func(core *Core, o Order, now Instant){
 		"the start is confirmed": func(core *Core, o Order, now Instant) {
 			core.OrderDone(o, Answer{Outcome: OutcomeOK, ClockMS: 1100}, now)
 		},
@@ -68,7 +67,7 @@
 			if len(list) != 1 {
 				t.Fatalf("%d starts", len(list))
 			}
-			tell(core, list[0], now)
+			report(core, list[0], now)
 			if n := core.Pending("q"); n != 0 {
 				t.Errorf("%d jobs wait, want none", n)
 			}
@@ -79,7 +78,7 @@
 	}
 }
 
-// storedProgress returns what the records hold of a job, nil for nothing.
+// storedProgress returns a job's progress from the records, nil if it is not among them.
 func storedProgress(t *testing.T, records []Record, id string) *job.Progress {
 	t.Helper()
 	for _, r := range records {
--- a/dispatch/reread_test.go
+++ b/dispatch/reread_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// endedCore returns a core with a job that has ended, whose end is stored and whose time
-// to be kept is over, and the job's spec is that of simpleJob(1, 1).
+// endedCore returns a core with a job that has ended, whose end is stored and which was kept for
+// JobKept since; its spec is simpleJob(1, 1).
 func endedCore(t *testing.T) (*Core, Instant) {
 	t.Helper()
 	core, now := idleCore(t, 1)
@@ -29,9 +29,9 @@
 	return core, now
 }
 
-// TestExpiredJobDoesNotRunAgain: the store still holds a job whose record is about to be
-// removed. An owner that reads all jobs again, since the store has lost its history, must not
-// take it for new; nor when that answer was read after the removal and sent before.
+// TestExpiredJobDoesNotRunAgain: an owner reads all jobs again because the store has lost its
+// history, and receives a job that has ended and whose record is to be removed, or was removed
+// after the answer was sent. It must not add the job as new.
 func TestExpiredJobDoesNotRunAgain(t *testing.T) {
 	for name, removed := range map[string]bool{"to be removed": false, "removed": true} {
 		t.Run(name, func(t *testing.T) {
--- a/dispatch/shown_test.go
+++ b/dispatch/shown_test.go
@@ -17,8 +17,8 @@
 	return state
 }
 
-// TestFinalStatesAreShownOnceStored: until the store has it, an end may yet come to nothing, and
-// the worker must not forget it.
+// TestFinalStatesAreShownOnceStored: an end that is not stored may be lost with its owner, so it is
+// not shown before, and the worker must not forget it.
 func TestFinalStatesAreShownOnceStored(t *testing.T) {
 	for name, c := range map[string]struct {
 		kind EndKind
@@ -53,7 +53,8 @@
 	}
 }
 
-// TestCancelledIsShownOnceStored: and nothing starts from when the core hears of it.
+// TestCancelledIsShownOnceStored: a cancellation is not shown before it is stored, but nothing
+// starts once the core has received it.
 func TestCancelledIsShownOnceStored(t *testing.T) {
 	core, now := idleCore(t, 1)
 	spec := simpleJob(1, 1, 1)
--- a/dispatch/upkeep_test.go
+++ b/dispatch/upkeep_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// upkeepWorld is a platform of VMs, and an owner with its store.
+// maintenanceSim simulates a platform of VMs, and an owner with its store.
 type upkeepWorld struct {
 	t      *rapid.T
 	wave   Wave
@@ -16,17 +16,17 @@
 	term   uint64
 	now    Instant
 	record []byte // of the wave, as the store has it
-	status bool   // succeeded, as the operators are told
+	status bool   // the wave has succeeded, as the operators see it
 	vms    map[string]*worldVM
 	calls  []UpkeepOrder // sent and not answered yet
 }
 
 type worldVM struct {
 	life  int
-	down  bool // for its upkeep
+	down  bool // for its maintenance
 	begun bool
 	upAt  time.Duration
-	// listedUntil is when the entry of the life that was taken down lapses.
+	// listedUntil is when the entry of the incarnation that was taken down expires.
 	listedUntil time.Duration
 }
 
@@ -43,7 +43,7 @@
 	}
 }
 
-// list tells the core of the workers and has it read their empty lists.
+// list updates the core's workers and has it read their empty lists.
 func (u *upkeepWorld) list() {
 	var infos []WorkerInfo
 	for name, vm := range u.vms {
@@ -90,14 +90,14 @@
 		u.status = true
 		for name, vm := range u.vms {
 			if !vm.begun {
-				u.t.Fatalf("the wave is said to have succeeded, %s had no upkeep", name)
+				u.t.Fatalf("the wave is recorded as succeeded, %s had no maintenance", name)
 			}
 		}
 	}
 	u.core.WavePersisted(r)
 }
 
-// carryOut has the platform take a VM down, once.
+// carryOut has the platform take a VM down, unless it has done so before.
 func (u *upkeepWorld) carryOut(o UpkeepOrder) {
 	vm := u.vms[o.VM]
 	if vm.begun {
@@ -134,8 +134,9 @@
 	u.core.UpkeepDone(o, outcome, u.now)
 }
 
-// Whatever is lost and whoever takes over: at most AtOnce VMs are down for the
-// wave, it is said to have succeeded only when all had their upkeep, and it ends.
+// TestWavesKeepTheirBoundsAcrossTakeovers: whichever orders and answers are lost and whenever owners
+// change, at most AtOnce VMs are down for the wave, it succeeds only once all have had their
+// maintenance, and it ends.
 func TestWavesKeepTheirBoundsOverTakeovers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		u := &upkeepWorld{t: t, vms: map[string]*worldVM{}, now: Instant{Steady: time.Second}}
@@ -173,16 +174,16 @@
 	})
 }
 
-// An owner gives no order for a VM before the one before it can have stopped to.
+// An owner gives no order for a VM before the previous owner has certainly stopped giving any.
 func TestUpkeepWaitsForThePreviousOwner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		u := &upkeepWorld{t: t, vms: map[string]*worldVM{"m0": {}}, now: Instant{Steady: time.Minute}}
 		u.wave = Wave{Number: 1, VMs: []string{"m0"}, AtOnce: 1}
 		u.takeOver()
-		began := u.now.Steady
-		for u.now.Steady < began+worldGap {
+		takenOverAt := u.now.Steady
+		for u.now.Steady < takenOverAt+worldGap {
 			if len(u.calls) > 0 {
-				t.Fatalf("an order %v after the takeover", u.now.Steady-began)
+				t.Fatalf("an order %v after the takeover", u.now.Steady-takenOverAt)
 			}
 			u.advance(100 * time.Millisecond)
 			u.persist()
@@ -198,13 +199,13 @@
 		u.now.Steady += 2 * upkeepRetry
 		u.core.Tick(u.now)
 		if n := len(u.core.TakeUpkeeps()); n != 0 {
-			t.Fatalf("%d orders under an unsure lease", n)
+			t.Fatalf("%d orders while the lease is not held for certain", n)
 		}
 	})
 }
 
-// Lasting tasks leave a VM one after the other, as many as their step can miss,
-// and the VM is taken down only when it is empty.
+// Long-running tasks leave a VM in turn, at most MaxAway of a step at a time, and the VM is taken
+// down only when it is empty.
 func TestUpkeepSparesLastingTasks(t *testing.T) {
 	now := Instant{Steady: time.Second}
 	core := sureCore(Params{}, 1, now)
@@ -273,8 +274,8 @@
 	t.Fatal("the VM is not taken down")
 }
 
-// A VM that two waves name is taken down for one after the other, and is not
-// counted as back from the second by the worker that the first one brought.
+// A VM that two waves name is taken down for one after the other, and the worker that the first
+// wave brought does not count as its return from the second.
 func TestOverlappingWavesTakeTurnsAtAVM(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		u := &upkeepWorld{t: t, vms: map[string]*worldVM{"m0": {}, "m1": {}}, now: Instant{Steady: time.Minute}}
@@ -307,7 +308,7 @@
 	})
 }
 
-// TestFencedUpkeepEndsTheTerm: an owner that hears of a higher term decides nothing more.
+// TestFencedMaintenanceEndsTheTerm: an owner that learns of a higher term decides nothing more.
 func TestFencedUpkeepEndsTheTerm(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		u := &upkeepWorld{t: t, vms: map[string]*worldVM{"m0": {}}, now: Instant{Steady: time.Minute}}
@@ -322,7 +323,7 @@
 		}
 		u.core.UpkeepDone(u.calls[0], UpkeepFenced, u.now)
 		if !u.core.Deposed() {
-			t.Error("the owner goes on")
+			t.Error("the owner is not deposed")
 		}
 	})
 }
