--- a/dispatch/admit_test.go
+++ b/dispatch/admit_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestLongRunningJobWithoutCapacityIsRefused: such a job is refused with the time in which other jobs
-// free that much; one that has capacity, or that is known already, is admitted.
+// TestLongRunningJobWithoutCapacityIsRefused: the refusal has the time in which other jobs free as
+// much capacity; a job that has capacity, or that is known already, is admitted.
 func TestLastingJobWithoutRoomIsRefused(t *testing.T) {
 	core, now := keptCore(t, 40)
 	if a := core.Admit(lastingJob(1, 20), now); a.Refused {
@@ -42,7 +42,8 @@
 	}
 }
 
-// TestCrowdedAfterSustainedWaiting: a burst that is placed within a pass or two does not make entries ask.
+// TestCrowdedAfterSustainedWaiting: a burst that is placed within a pass or two does not make
+// entries ask.
 func TestCrowdedAfterAWhile(t *testing.T) {
 	core, now := idleCore(t, 1)
 	spec := simpleJob(1, 40)
--- a/dispatch/checkpoint_rapid_test.go
+++ b/dispatch/checkpoint_rapid_test.go
@@ -18,12 +18,12 @@
 	spec *job.Spec
 	// unread holds the incarnations whose lists were not read yet.
 	unread map[WorkerID]bool
-	// workers are the current incarnations, lives counts all that there were.
+	// workers are the current incarnations; the field incarnations counts all that there were.
 	workers []WorkerID
 	lives   int
 	clock   int64
 	ends    map[WorkerID]uint64
-	// newest is the highest run that reported a text of a task or gang, told its last text.
+	// newest is the highest run that reported a text of a task or gang, reported its last text.
 	newest map[job.TaskID]uint64
 	told   map[job.TaskID]string
 	// started holds the runs of each task that the core ordered, in their order.
--- a/dispatch/jobs.go
+++ b/dispatch/jobs.go
@@ -96,7 +96,7 @@
 	avoid WorkerID
 	// readySince is when the task last became ready.
 	readySince time.Duration
-	// concluded is set if the last attempt counts as ended though no list reported its
+	// endUnknown is set if the last attempt counts as ended though no list reported its
 	// end. Such a task starts again only while the lease is held for certain: the next
 	// owner may know how the attempt ended.
 	concluded bool
@@ -106,18 +106,18 @@
 	// is set at the first task.
 	failedInTerm bool
 	// crashes is how many workers in a row crashed at its start, counted for a gang at
-	// its first task; crashVersion is the job's version that records it; unsettled is how
-	// many more of its runs may have been crashes, see lostLife.
+	// its first task; crashVersion is the job's version that records it;
+	// unconfirmedCrashes is how many more of its runs may have been crashes, see lostLife.
 	crashes, unsettled int
 	crashVersion       uint64
 	// comparedAt is when its newest crash is compared with those of other workers; see
 	// crashComparison.
 	comparedAt time.Duration
-	// doubts are runs that may have crashed their workers, while no crash is known; see
+	// possibleCrashRuns may have crashed their workers, while no crash is known; see
 	// noteLostWithOwner and noteUnclearEnd.
 	doubts []uint64
-	// lastStartKnown is set once the outcome of its last start by the previous owner is
-	// known.
+	// lastStartKnown is set once the outcome of its last start by the previous
+	// owner is known.
 	lastStartKnown bool
 }
 
@@ -138,7 +138,7 @@
 	unsent bool
 	// lost is set if no list reported how the run ended.
 	lost bool
-	// missed is set while the newest lists lack a run that was known to be at the worker;
+	// unlisted is set while the newest lists lack a run that was known to be at the worker;
 	// missedAt is when the first of these lists was read; see missing.
 	missed   bool
 	missedAt time.Duration
@@ -150,8 +150,8 @@
 	listed   bool          // by the worker's incarnation
 	atWork   bool          // past its start in the newest list
 	stopAt   time.Duration // when the last stop was sent
-	// percent is the wanted pace (the limit of its CPU share), paced the one that the
-	// worker has acknowledged.
+	// wantedPace is the wanted limit of its CPU share in percent, ackedPace the one that
+	// the worker has acknowledged.
 	percent, paced int
 	paceAt         time.Duration // when the last order of a pace was sent
 	paceDoubted    time.Duration // when an order of a pace last got no answer
--- a/dispatch/upkeep.go
+++ b/dispatch/upkeep.go
@@ -61,15 +61,15 @@
 // vmMaintenance is the maintenance of one VM of a wave.
 type vmUpkeep struct {
 	vm string
-	// life is the worker that is drained for the maintenance, empty before.
+	// incarnation is the worker that is drained for the maintenance, empty before.
 	life WorkerID
 	// drainUntil is until when tasks without checkpoints may go on.
 	drainUntil time.Duration
 	// intended is set before the first order is given, and recorded: from then
-	// on the VM may be down. begun is set once the platform has confirmed the order.
+	// on the VM may be down. started is set once the platform has confirmed the order.
 	intended, begun bool
 	begunAt         time.Duration
-	// back is set once the maintenance has ended, void if the platform does not want it.
+	// returned is set once the maintenance has ended, notWanted if the platform refuses it.
 	back, void bool
 	calling    bool // an order is unanswered
 	retryAt    time.Duration
--- a/dispatch/upkeep_record.go
+++ b/dispatch/upkeep_record.go
@@ -14,7 +14,7 @@
 }
 
 type vmRecord struct {
-	// Life and Born identify the incarnation of the worker that the maintenance ends.
+	// Incarnation and Born identify the incarnation of the worker that the maintenance ends.
 	Life  string `json:"life"`
 	Born  int64  `json:"born,omitempty"`
 	Begun bool   `json:"begun,omitempty"`
