--- a/dispatch/order_test.go
+++ b/dispatch/order_test.go
@@ -7,14 +7,15 @@
 	"leverstile.dev/job"
 )
 
-// crowdStretch times their longest chain of work, patient jobs of the test are on time.
+// backlogStretch times the duration of their longest chain of steps is the objective of the
+// patient jobs in the test.
 const crowdStretch = 4
 
-// largestCrowd is the most tasks a step of these jobs has: a quarter of the room.
+// largestJobTasks is the most tasks that a step of these jobs has: a quarter of the capacity.
 const largestCrowd = 20
 
-// crowdRun plays patient jobs of which half as many again come as there is room for, and
-// returns how long each took, by its size in tasks a step.
+// backlogRun simulates patient jobs that ask for 1.5 times the capacity, and returns how long each
+// job took, by its number of tasks per step.
 func crowdRun(t *testing.T, seed uint64) map[int][]time.Duration {
 	const (
 		workers  = 10 // of 4 cores: 80 tasks of half a core, 55 of 1.45 s end in a second
@@ -66,8 +67,8 @@
 	return took
 }
 
-// crowdShares returns the parts of a list that end on time, and while they are still worth
-// something to their customers.
+// backlogShares returns which shares of a list of durations are on time, and within the time in
+// which the results are still of use to their customers.
 func crowdShares(list []time.Duration) (onTime, served float64) {
 	const objective = crowdStretch * 2 * 1450 * time.Millisecond
 	for _, d := range list {
@@ -82,10 +83,10 @@
 	return onTime / n, served / n
 }
 
-// Where more patient work comes than fits, most of what fits is done on time: by least slack
-// 0.42 of the jobs, since all ended a little too late, by the least part left 0.72. The largest
-// wait longer (0.31 on time, 0.38 by least slack) and are not starved: they are served as often as
-// the others, while it is of use to their customers.
+// TestBacklogOfPatientJobsIsServedPartly guards against a backlog in which all jobs end a little too
+// late. Ordered by least slack, 0.42 of the jobs are on time; ordered by least remaining work, 0.72.
+// The largest jobs wait longer (0.31 on time, 0.38 by least slack) but must not starve: they end in
+// time to be of use as often as the others.
 func TestCrowdOfPatientJobsIsServedInParts(t *testing.T) {
 	var all, largest []time.Duration
 	for seed := range uint64(3) {
@@ -98,11 +99,11 @@
 	}
 	onTime, served := crowdShares(all)
 	largestOnTime, largestServed := crowdShares(largest)
-	t.Logf("%d jobs, %.2f on time, %.2f served; of the %d largest %.2f, %.2f", len(all), onTime, served, len(largest), largestOnTime, largestServed)
+	t.Logf("%d jobs, %.2f on time, %.2f still of use; of the %d largest %.2f, %.2f", len(all), onTime, served, len(largest), largestOnTime, largestServed)
 	if onTime < 0.6 {
 		t.Errorf("%.2f of the jobs are on time", onTime)
 	}
 	if largestOnTime < 0.2 || largestServed < 0.9*served {
-		t.Errorf("%.2f of the largest are on time, %.2f served, where %.2f of all are", largestOnTime, largestServed, served)
+		t.Errorf("%.2f of the largest jobs are on time, %.2f still of use, where %.2f of all jobs are", largestOnTime, largestServed, served)
 	}
 }
--- a/dispatch/overload_test.go
+++ b/dispatch/overload_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// TestOverloadGivesUpInOrder: readings first, then fills, then all starts;
-// leases and stops never. It comes back when the owner is on time again.
+// TestOverloadShedsWorkInOrder checks that a late owner gives up readings first, then starts of
+// fill tasks, then all starts, but never leases and stops, and that it resumes them once it is on
+// time again.
 func TestOverloadGivesUpInOrder(t *testing.T) {
 	for _, x := range []struct {
 		late           time.Duration
@@ -51,23 +52,23 @@
 		}
 		plan := core.PlanHold(busy, now)
 		if !plan.Send || plan.Order.DeadlineMS == 0 || plan.Order.Wait != x.wait {
-			t.Errorf("%v late: poll %+v, want a lease and a wait of %v", x.late, plan, x.wait)
+			t.Errorf("owner %v late: poll %+v, want a lease and a wait of %v", x.late, plan, x.wait)
 		}
 		core.Cancel(serving.ID, now)
 		if orders := core.TakeOrders(); len(orders) != 2 || orders[0].Kind != OrderStop {
-			t.Errorf("%v late: %d orders after a cancellation, want two stops", x.late, len(orders))
+			t.Errorf("owner %v late: %d orders after a cancellation, want two stops", x.late, len(orders))
 		}
 		for range 20 {
 			core.Late(0, now)
 		}
 		if load, _ := core.Load(); load != LoadNormal {
-			t.Errorf("%v late: %v after two seconds on time", x.late, load)
+			t.Errorf("owner %v late: load is %v after two seconds on time", x.late, load)
 		}
 	}
 }
 
-// TestLateOwnerConcludesNothingFromSilence: a late owner took a worker's leases for over and
-// started its tasks again, before it came to read the list that told their ends.
+// TestLateOwnerDoesNotRestartTasksOfSilentWorkers guards against a late owner that takes a worker's
+// leases for expired and starts its tasks again before it has read the list with their ends.
 func TestLateOwnerConcludesNothingFromSilence(t *testing.T) {
 	core, now := idleCore(t, 2)
 	core.AddJob(simpleJob(1, 1), nil, false, now)
@@ -80,16 +81,16 @@
 		core.HoldDone(plan.Order, HoldReply{}, OutcomeUnknown, now)
 	}
 	fail()
-	now.Steady += 10 * time.Second // all leases are over
+	now.Steady += 10 * time.Second // all leases have expired
 	core.Late(time.Second, now)
 	core.Tick(now)
 	if n := len(starts(core)); n > 0 {
-		t.Fatal("started again by an owner that was late itself")
+		t.Fatal("an owner that was late itself started the task again")
 	}
 	core.Late(0, now)
 	core.Tick(now)
 	if n := len(starts(core)); n > 0 {
-		t.Fatal("started again before the worker was asked once more")
+		t.Fatal("the task was started again before the worker was polled once more")
 	}
 	now.Steady += 10 * time.Millisecond
 	fail()
@@ -102,7 +103,7 @@
 	}
 }
 
-// TestLateOwnerWaitsForThePreviousOnesWorkers: the same at a takeover.
+// TestLateOwnerWaitsForThePreviousOwnersWorkers checks the same after a takeover.
 func TestLateOwnerWaitsForThePreviousOnesWorkers(t *testing.T) {
 	now := Instant{Steady: time.Second}
 	core := livesCore(now, RosterEntry{ID: "w1", Address: "w1"})
@@ -112,7 +113,7 @@
 	core.Late(time.Second, now)
 	core.Tick(now)
 	if core.Recovering() != 1 {
-		t.Fatal("a late owner takes a worker's leases for over")
+		t.Fatal("a late owner takes a worker's leases for expired")
 	}
 	now.Steady += time.Second
 	plan = core.PlanHold("w1", now)
@@ -120,12 +121,12 @@
 	core.Late(0, now)
 	core.Tick(now)
 	if core.Recovering() != 0 {
-		t.Fatal("it waits on after the worker did not answer in time")
+		t.Fatal("the owner still waits after the worker did not answer in time")
 	}
 }
 
-// TestOwnerWithoutReachConcludesNothing: if most workers are silent at once, the fault is
-// the owner's link, and their ends wait to be read.
+// TestOwnerThatReachesFewWorkersRestartsNothing checks that an owner for which most workers are
+// silent at once blames its own network link: the workers' ends wait there to be read.
 func TestOwnerWithoutReachConcludesNothing(t *testing.T) {
 	for silent := 1; silent <= 4; silent++ {
 		core, now := idleCore(t, 4)
@@ -137,7 +138,7 @@
 			core.OrderDone(o, Answer{ClockMS: 1001}, now)
 		}
 		core.jobs[spec.ID].steps[0].spec.MaxPerWorker = 0
-		for range 10 { // until all leases of the silent ones are over
+		for range 10 { // until all leases of the silent workers have expired
 			now.Steady += time.Second
 			for i, id := range core.Workers() {
 				w := core.workers[id]
@@ -154,7 +155,7 @@
 		}
 		core.Tick(now)
 		want := 0
-		if silent <= 2 { // at least half of the others are reached
+		if silent <= 2 { // at least half of the other workers are reachable
 			want = silent
 		}
 		if n := len(starts(core)); n != want {
@@ -163,7 +164,8 @@
 	}
 }
 
-// TestOrderThatWasNotSentIsDecidedAnew: it may go to another worker at once.
+// TestUnsentOrderIsPlannedAgain checks that an order that was not sent may go to another worker at
+// once.
 func TestOrderThatWasNotSentIsDecidedAnew(t *testing.T) {
 	core, now := idleCore(t, 2)
 	core.AddJob(simpleJob(1, 1), nil, false, now)
@@ -171,11 +173,11 @@
 	o := starts(core)[0]
 	core.OrderDone(o, Answer{Outcome: OutcomeNotSent}, now)
 	if w := core.workers[o.Worker]; w.unanswered != 0 || !(core.barrierOf(w, now) == barrierNone) {
-		t.Error("the worker is blamed")
+		t.Error("the worker is blamed for an order that was not sent")
 	}
 	core.Schedule(now)
 	again := starts(core)
 	if len(again) != 1 || again[0].Run <= o.Run {
-		t.Errorf("%v, want a start under a new run", again)
+		t.Errorf("orders %v, want a start with a new run number", again)
 	}
 }
