--- a/dispatch/fuzz_test.go
+++ b/dispatch/fuzz_test.go
@@ -15,11 +15,11 @@
 	simFirst = flag.Uint64("dispatch.first", 0, "first seed")
 )
 
-// settleFor is the time in which all jobs must end once the faults are over.
+// settleFor is the time within which all jobs must end once the faults are over.
 const settleFor = 60 * time.Second
 
-// faultsRun plays one seed: jobs come while workers crash, are cut off and
-// answer late, owners die, freeze and lose the store.
+// faultsRun runs one seed: jobs are submitted while workers crash, are cut off and answer late, and
+// owners die, freeze and lose the store.
 func faultsRun(seed uint64, mutate func(s *sim)) *sim {
 	s := newSim(seed, 4+int(seed%4))
 	if mutate != nil {
@@ -65,16 +65,16 @@
 	switch s.rng.IntN(13) {
 	case 0:
 		s.crash(s.rng.IntN(len(s.workers)))
-	case 1: // a cut worker runs on
+	case 1: // a worker that is cut off keeps running
 		w.cut = true
 		s.later(time.Duration(1+s.rng.IntN(8000))*time.Millisecond, func() { w.cut = false })
-	case 2: // the owner dies; another takes over when its lease is over
+	case 2: // the owner dies; another one takes over when its lease expires
 		s.owner.dead = true
-	case 3: // it freezes, and wakes, perhaps after the next one took over
+	case 3: // the owner freezes and resumes, perhaps after the next one took over
 		o := s.owner
 		o.paused = true
 		s.later(time.Duration(500+s.rng.IntN(6000))*time.Millisecond, func() { o.paused = false })
-	case 4: // it is cut off the store and goes on
+	case 4: // the owner is cut off from the store and continues
 		o := s.owner
 		o.cutStore = true
 		s.later(time.Duration(500+s.rng.IntN(9000))*time.Millisecond, func() { o.cutStore = false })
@@ -85,7 +85,7 @@
 		if len(s.order) > 0 {
 			s.cancel(s.order[s.rng.IntN(len(s.order))])
 		}
-	case 8: // a frozen owner wakes beside the next one, which some workers don't hear
+	case 8: // a frozen owner resumes beside the next one, which can't reach some workers
 		o := s.owner
 		o.paused = true
 		for _, w := range s.workers {
@@ -95,7 +95,7 @@
 			}
 		}
 		s.later(time.Duration(4000+s.rng.IntN(5000))*time.Millisecond, func() { o.paused = false })
-	case 11, 12: // a data centre is evacuated, perhaps the last one or while another is
+	case 11, 12: // a data centre is evacuated, perhaps the last one or while another one is
 		dc := fmt.Sprintf("dc%d", s.rng.IntN(simDataCentres))
 		s.setEvacuated(dc, true)
 		s.later(time.Duration(1000+s.rng.IntN(12_000))*time.Millisecond, func() { s.setEvacuated(dc, false) })
@@ -103,15 +103,15 @@
 		o := s.owner
 		o.lag = time.Duration(200+s.rng.IntN(3000)) * time.Millisecond
 		s.later(time.Duration(2000+s.rng.IntN(10_000))*time.Millisecond, func() { o.lag = 0 })
-	case 9: // the store loses the owner's renewals, and answers otherwise
+	case 9: // the store loses the owner's renewals but answers other requests
 		s.renewalsLost = s.now + time.Duration(1000+s.rng.IntN(6000))*time.Millisecond
-	case 7: // all is lost at once but what runs
+	case 7: // the owner dies and its lease ends at once; only the running tasks remain
 		s.owner.dead = true
 		s.owner.leadEnd = s.now
 	}
 }
 
-// calm ends all faults.
+// endFaults ends all faults.
 func (s *sim) calm() {
 	s.calmMore()
 	s.lossShare, s.failShare, s.storeDown = 0, 0, false
@@ -144,8 +144,8 @@
 	}
 }
 
-// lateOwnerRun plays an owner that again and again does everything up to seconds
-// late, with workers that all can be reached.
+// lateOwnerRun simulates an owner that repeatedly does everything up to seconds late, with workers
+// that are all reachable.
 func lateOwnerRun(seed uint64, unaware bool) *sim {
 	s := newSim(seed, 4+int(seed%4))
 	s.strict, s.unawareLate = true, unaware
@@ -166,9 +166,9 @@
 	return s
 }
 
-// TestLateOwnerStartsNothingAgain: an owner without processor time takes no
-// worker for silent and starts no task again. One that does not know that it is
-// late does.
+// TestLateOwnerRestartsNothing checks that an owner without processor time treats no worker as
+// silent and starts no task again. An owner that ignores its lateness does, which shows that the
+// test can fail.
 func TestLateOwnerStartsNothingAgain(t *testing.T) {
 	const seeds = 20
 	for seed := range uint64(seeds) {
@@ -184,10 +184,10 @@
 			return
 		}
 	}
-	t.Errorf("an owner that does not know its lateness starts nothing again in %d seeds: the test proves nothing", seeds)
+	t.Errorf("an owner that ignores its lateness restarts nothing in %d seeds: the test proves nothing", seeds)
 }
 
-// TestMutations removes one safeguard at a time: the oracle must find each.
+// TestMutations removes one safeguard at a time; the oracle must detect each removal.
 func TestMutations(t *testing.T) {
 	for _, m := range []struct {
 		name   string
@@ -210,17 +210,16 @@
 					return
 				}
 			}
-			t.Errorf("not found in %d seeds", mutationSeeds)
+			t.Errorf("not detected in %d seeds", mutationSeeds)
 		})
 	}
 }
 
-// mutationSeeds bounds the search for a removed safeguard.
+// mutationSeeds is the maximum number of seeds tried to detect a removed safeguard.
 const mutationSeeds = 400
 
-// budgetRun plays tasks that often fail and have two attempts, with owners that
-// are cut off the store until they die, and workers that the next one reaches
-// late.
+// budgetRun simulates tasks that often fail and have two attempts, with owners that are cut off from
+// the store until they die, and workers that the next owner reaches late.
 func budgetRun(seed uint64, hasty bool) *sim {
 	s := newSim(seed, 4+int(seed%4))
 	s.maxAttempts, s.failShare, s.hastyRetry = 2, 0.35, hasty
@@ -244,9 +243,9 @@
 	return s
 }
 
-// TestFailuresOfThePreviousOwnerCount: no task starts again that has failed as often as its
-// queue allows, though the failures are read in any order after a takeover. An owner that does
-// not wait for those at workers that have not answered starts tasks once too often.
+// TestFailuresOfThePreviousOwnerCount guards against one attempt too many: a task that has failed as
+// often as its queue allows must not start again, although a new owner may read the failures in any
+// order. An owner that does not wait for workers that have not answered breaks that.
 func TestFailuresOfThePreviousOwnerCount(t *testing.T) {
 	for n := range max(*simSeeds/3, 1) {
 		s := budgetRun(*simFirst+n, false)
@@ -263,8 +262,8 @@
 	t.Errorf("an owner that does not wait breaks nothing in %d seeds: the test proves nothing", mutationSeeds)
 }
 
-// badWorkersRun plays wide jobs with two attempts a task while an eighth of the
-// workers fail all that they start; it returns how many jobs failed.
+// failingWorkersRun simulates jobs of 30 tasks with two attempts each while an eighth of the workers
+// fail all their runs; it returns how many jobs failed.
 func badWorkersRun(t *testing.T, seed uint64) (failed, jobs int) {
 	s := newSim(seed, 40)
 	s.maxAttempts, s.failShare = 2, 0.01
@@ -291,8 +290,8 @@
 	return failed, jobs
 }
 
-// TestRetriesGoToWorkersThatDoWell: a task that failed at a bad worker does not meet the next one
-// that is known to fail.
+// TestRetriesAvoidFailingWorkers guards against jobs that fail because a task's second attempt goes
+// to another worker that is known to fail its tasks.
 func TestRetriesGoToWorkersThatDoWell(t *testing.T) {
 	failed, jobs := 0, 0
 	for seed := range uint64(6) {
--- a/dispatch/sim_faults_test.go
+++ b/dispatch/sim_faults_test.go
@@ -8,104 +8,105 @@
 	"leverstile.dev/job"
 )
 
-// moreFaults are faults of the simulation that are played only where they are
-// switched on, and the safeguards against them that can be off.
+// moreFaults holds the faults of the simulation that are injected only where they are switched on,
+// and the safeguards against them that can be switched off.
 type moreFaults struct {
-	// refuseShare of the starts are refused by an unwell worker, which does nothing.
+	// refuseShare of the starts are refused by an unwell worker, without effect.
 	refuseShare float64
-	// noRoomShare of the starts are refused for lack of room.
+	// noCapacityShare of the starts are refused for lack of capacity.
 	noRoomShare float64
 	// breakShare of the calls lose their connection before the answer, half of them
-	// after they were carried out.
+	// after the call was carried out.
 	breakShare float64
-	// hiddenCopies: the transport then sends the call once more by itself, and
-	// tells the owner only what the second copy was answered.
+	// hiddenCopies: the transport then repeats the call by itself and reports to the
+	// owner only the answer to the second copy.
 	hiddenCopies bool
-	// delayShare of the calls are carried out within a start's window, but not
-	// answered.
+	// delayShare of the calls are carried out within a start's window, but get no
+	// answer.
 	delayShare float64
-	// notSentShare of the orders find no turn to be sent in time.
+	// notSentShare of the orders are not sent in time, for lack of a free slot.
 	notSentShare float64
-	// startGapShare of the starts are carried out a moment after the worker has checked
+	// startGapShare of the starts are carried out some time after the worker has checked
 	// their terms; see startAfterGap.
 	startGapShare float64
-	// longPolls: workers hold the answers to polls until a task ends.
+	// longPolls: workers answer polls only once a task ends.
 	longPolls bool
 	// lateAnswerShare of the answers take up to lateAnswer.
 	lateAnswerShare float64
-	// oldEntries: the platform lists ended lives beside the next one for a while.
+	// oldEntries: the platform lists ended incarnations beside the next one for a while.
 	oldEntries bool
 	entries    []oldEntry
-	// lateWatches: owners hear of jobs and cancellations late, and by hints
-	// before, twice or not at all.
+	// lateWatches: owners receive jobs and cancellations late, and as hints before,
+	// twice or not at all.
 	lateWatches bool
 	// slowStops: stops take up to simStopTime.
 	slowStops bool
 	// gangJobs: some jobs have gangs.
 	gangJobs bool
 	gangs    map[gangID]*simGang
-	// lasting: some jobs run until they are cancelled.
+	// longRunning: some jobs run until they are cancelled.
 	lasting bool
-	// removed holds the states of the jobs whose records were removed.
+	// removed holds the final states of the jobs whose records were removed.
 	removed map[string]job.State
 
-	// crashesUnder holds the runs of each task that crash their workers under which one
-	// did, startsAfter counts its starts after the third of them, startsTold holds the
-	// runs whose start an owner has heard of.
+	// crashesUnder holds, for each task that crashes its workers, the runs that did,
+	// startsAfter counts its starts after the third crash, and startsReported holds the
+	// runs whose start was answered to an owner.
 	crashesUnder map[job.TaskID][]uint64
 	startsAfter  map[job.TaskID]int
 	startsTold   map[uint64]bool
-	// takeoversBefore is how many there had been at each such task's first crash.
+	// takeoversBefore is the number of takeovers before each such task's first crash.
 	takeoversBefore map[job.TaskID]int
-	// deadRefuse: connections to a worker are refused between two of its lives.
+	// deadRefuse: connections to a worker are refused between two of its incarnations.
 	deadRefuse bool
-	// onCrashed counts the workers that crashed with each task, where that is played.
+	// onCrashed counts the workers that crashed while they ran each task, where that is
+	// simulated.
 	onCrashed map[job.TaskID]int
 
-	// settleMore is added to settleFor.
+	// settleMore extends settleFor.
 	settleMore time.Duration
 
-	// extra plays one more fault now and then, if set.
+	// extra injects one more fault now and then, if set.
 	extra func(s *sim)
 
-	// Safeguards that are off.
-	// forgetTries: a refusal counts as that of the only copy of a start.
+	// Safeguards that are switched off.
+	// ignoreTries: a refusal counts as if only one copy of the start had been sent.
 	forgetTries bool
-	// believeOldLists: a list counts as newer than the runs that it lacks.
+	// believeOldLists: a list counts as newer than the runs that are missing from it.
 	believeOldLists bool
-	// believeEntries: the life of a worker that is not listed counts as over.
+	// believeEntries: an incarnation that is not listed counts as ended.
 	believeEntries bool
-	// forgetEnded: an owner forgets jobs that have ended before it reads all jobs.
+	// forgetEnded: an owner drops jobs that have ended before it reads all jobs.
 	forgetEnded bool
-	// forgetCrashes: an owner forgets what it knows of tasks' crashes.
+	// forgetCrashes: an owner drops its records of tasks' crashes.
 	forgetCrashes bool
-	// hastyLists: workers answer polls at once, and owners take them for held.
+	// skipPollWait: workers answer polls at once, and owners take the wait for observed.
 	hastyLists bool
-	// quietHandover: an owner that hands over ends before its lease does.
+	// stopBeforeHandover: an owner that hands over stops before its lease ends.
 	quietHandover bool
 
-	// Counts of what was played.
+	// Counts of the injected faults.
 	refused, copied, handovers, restarts, listedLate, rereads, crashed, gaps int
-	// startedLate counts the starts that were carried out after a later term was heard of.
+	// startedLate counts the starts carried out after a call of a later term.
 	startedLate int
 }
 
-// oldEntry is the entry of an ended life, listed from one moment to another.
+// oldEntry is the entry of an ended incarnation, listed for a limited time.
 type oldEntry struct {
 	info        WorkerInfo
 	from, until time.Duration
 }
 
-// lateAnswer is the longest that an answer is on its way; a call of an order
-// waits for callTimeout in all.
+// lateAnswer is the maximum travel time of an answer; a call that carries an order times out after
+// callTimeout in all.
 const lateAnswer = 360 * time.Millisecond
 
-// within returns a moment up to a time ahead.
+// within returns a random duration up to d.
 func (s *sim) within(d time.Duration) time.Duration { return time.Duration(1 + s.rng.Int64N(int64(d))) }
 
 func (s *sim) chance(share float64) bool { return share > 0 && s.rng.Float64() < share }
 
-// travelFault plays a fault of a call's transport; it reports false if there is none.
+// travelFault injects a transport fault into a call; it reports false if there is none.
 func (s *sim) travelFault(w *simWorker, term uint64, travel time.Duration, do func(w *simWorker), answered func(), lost func()) bool {
 	if w == nil || w.unreached(term) {
 		return false
@@ -117,7 +118,7 @@
 	if s.chance(s.delayShare) {
 		delay := s.within(startWindow + 200*time.Millisecond)
 		s.later(delay, func() {
-			if delay < callTimeout { // its connection may still be opened
+			if delay < callTimeout { // its connection may only now be opened
 				w = s.reached(w)
 			}
 			do(w)
@@ -128,7 +129,7 @@
 	return false
 }
 
-// breakOff breaks a call's connection before its answer.
+// breakOff breaks a call's connection before its answer arrives.
 func (s *sim) breakOff(w *simWorker, term uint64, travel time.Duration, do func(w *simWorker), answered func(), lost func()) {
 	carriedOut := s.rng.IntN(2) == 0
 	s.later(travel, func() {
@@ -151,7 +152,7 @@
 	})
 }
 
-// answerTime is how long an answer is on its way.
+// answerTime returns the travel time of an answer.
 func (s *sim) answerTime() time.Duration {
 	if s.chance(s.lateAnswerShare) {
 		return s.within(lateAnswer)
@@ -159,7 +160,7 @@
 	return time.Duration(1+s.rng.IntN(60)) * time.Millisecond
 }
 
-// refuses reports whether the worker is unwell when a start comes.
+// refuses reports whether the worker is unwell when a start arrives.
 func (w *simWorker) refuses() bool {
 	if w.sim.now >= w.unwellUntil && !w.sim.chance(w.sim.refuseShare) {
 		return false
@@ -168,8 +169,8 @@
 	return true
 }
 
-// awaitEnd has a worker answer a poll that it has carried out: once an end is there
-// or the poll's wait is over, from what it knows at that moment.
+// awaitEnd has a worker answer a poll that it has carried out once an end is listed or the poll's
+// wait is over, with its lists at that time.
 func (s *sim) awaitEnd(w *simWorker, h HoldOrder, answered func(reply HoldReply), lost func()) {
 	until := s.now + h.Wait
 	var look func()
@@ -188,15 +189,15 @@
 	look()
 }
 
-// notSent tells the owner that an order found no turn in time.
+// notSent reports to the owner that an order was not sent in time.
 func (s *sim) notSent(o *simOwner, order Order) {
 	s.later(500*time.Millisecond, func() {
 		s.answer(o, func() { o.core.OrderDone(order, Answer{Outcome: OutcomeNotSent}, s.instant()) })
 	})
 }
 
-// orderDone takes in the answer to an order. With forgetTries, a refusal counts as
-// that of the only copy.
+// orderDone has a core process the answer to an order. With ignoreTries, a refusal counts as if only
+// one copy had been sent.
 func (s *sim) orderDone(core *Core, o Order, answer Answer) {
 	if s.startsTold != nil && o.Kind == OrderStart && answer.Outcome == OutcomeOK {
 		s.startsTold[o.Run] = true
@@ -207,7 +208,7 @@
 	core.OrderDone(o, answer, s.instant())
 }
 
-// misread changes what a core makes of a list, where a safeguard is off.
+// misread changes how a core reads a list, where a safeguard is switched off.
 func (s *sim) misread(core *Core, w *worker, reply HoldReply) {
 	if w == nil || reply.ClockMS == 0 {
 		return
@@ -221,8 +222,8 @@
 	}
 }
 
-// leaveEntry leaves the entry of a life that ends in the platform's list, where it
-// lapses late and may be written once more.
+// keepOldEntry keeps the entry of an incarnation that ends in the platform's list, where it expires
+// late and may be written once more.
 func (s *sim) leaveEntry(w *simWorker) {
 	if !s.oldEntries {
 		return
@@ -234,7 +235,7 @@
 	}
 }
 
-// listed returns what the platform lists, of these workers that are there.
+// listed returns what the platform lists, given the workers that are up.
 func (s *sim) listed(list []WorkerInfo) []WorkerInfo {
 	for _, w := range s.workers {
 		if s.now < w.unlisted {
@@ -253,8 +254,8 @@
 	return list
 }
 
-// announce tells the owners of a job that is recorded: each by its watch, up to
-// seconds late, and one of the newest two by hints.
+// announce delivers a recorded job to the owners: to each by its watch, up to seconds late, and to
+// one of the newest two by hints.
 func (s *sim) announce(spec *job.Spec) {
 	owners := append(slices.Clone(s.old), s.owner)
 	tell := func(o *simOwner) { o.core.AddJob(spec, nil, false, s.instant()) }
@@ -267,7 +268,7 @@
 	}
 }
 
-// lateness is how late an owner hears of something, mostly little.
+// lateness returns how late an owner receives something, mostly little.
 func (s *sim) lateness() time.Duration {
 	if s.rng.IntN(4) == 0 {
 		return s.within(3 * time.Second)
@@ -275,8 +276,8 @@
 	return s.within(50 * time.Millisecond)
 }
 
-// reread offers the owner all jobs that the store holds as new, as it does after the
-// store has lost its history. The answer is on its way meanwhile.
+// reread offers the owner all jobs in the store as new, as it reads them after the store has lost
+// its history. The answer is in transit for a while.
 func (s *sim) reread() {
 	if s.storeDown || s.owner.cutStore {
 		return
@@ -299,7 +300,7 @@
 	})
 }
 
-// removeExpired removes the records of jobs that ended long ago.
+// removeExpired removes the records of jobs that ended longer ago than they are kept.
 func (s *sim) removeExpired(o *simOwner) {
 	ids := slices.Clone(o.core.Expired(8))
 	if len(ids) == 0 || o.removing || s.storeDown || o.cutStore || o != s.owner {
@@ -314,7 +315,7 @@
 		for _, id := range ids {
 			s.removeJob(id)
 		}
-		o.core.Removed(len(ids), 1) // the simulation has no revisions: their ids stay known
+		o.core.Removed(len(ids), 1) // the simulation has no revisions: the core keeps their ids
 	})
 }
 
@@ -331,9 +332,9 @@
 	delete(s.progress, id)
 }
 
-// handOver has the owner give up its lease at the store. The next one takes over as
-// soon as it has read the state. Until it hears the answer, the owner acts on, and is
-// sure of its lease, unless quietHandover is set.
+// handOver has the owner give up its lease at the store. The next one takes over as soon as it has
+// read the state. Without stopBeforeHandover, the owner still holds its lease for certain and acts
+// until it receives the answer.
 func (s *sim) handOver() {
 	o := s.owner
 	if s.storeDown || o.cutStore || o.dead || o.paused {
@@ -346,16 +347,16 @@
 }
 
 const (
-	// handoverLeast is how long a takeover after a handover takes at the least: to
-	// hear of it, to be elected and to read the state.
+	// minHandoverTime is the least time of a takeover after a handover: for the notice,
+	// the election and reading the state.
 	handoverLeast = 60 * time.Millisecond
-	// handoverUnheard is the longest that an owner acts on after its lease was ended:
-	// the answer may get lost, but the next renewal tells.
+	// maxHandoverDelay is the longest that an owner acts after its lease was ended: the
+	// answer may get lost, but the next renewal reports it.
 	handoverUnheard = 600 * time.Millisecond
 )
 
-// restart ends the owner's process; its next life takes over at once, and may be
-// ended as soon.
+// restart ends the owner's process; the next process takes over within a second and may be ended as
+// soon.
 func (s *sim) restart(times int) {
 	s.restarts++
 	s.owner.dead = true
@@ -365,7 +366,7 @@
 	}
 }
 
-// idle lets much time pass while nothing runs.
+// idle advances time by d while nothing runs.
 func (s *sim) idle(d time.Duration) {
 	s.run(8 * time.Second)
 	s.now += d
@@ -373,7 +374,7 @@
 	s.run(100 * time.Millisecond)
 }
 
-// calmMore ends the faults that are switched on.
+// endMoreFaults ends the faults that are switched on.
 func (s *sim) calmMore() {
 	s.refuseShare, s.noRoomShare, s.breakShare, s.delayShare, s.lateAnswerShare, s.notSentShare, s.startGapShare = 0, 0, 0, 0, 0, 0, 0
 	s.extra = nil
@@ -382,7 +383,7 @@
 	}
 }
 
-// submitLasting submits a job that runs until it is cancelled.
+// submitLongRunning submits a job that runs until it is cancelled.
 func (s *sim) submitLasting(id int) {
 	spec := simpleJob(id, 1+s.rng.IntN(3))
 	spec.Steps[0].Lasting = true
@@ -390,7 +391,7 @@
 	s.later(2*time.Second+s.within(20*time.Second), func() { s.cancel(spec.ID) })
 }
 
-// drain has a worker say that it ends, and end.
+// drain has a worker announce that it leaves, and end.
 func (s *sim) drain(i int) {
 	w := s.workers[i]
 	if !w.alive || w.info.Draining {
--- a/dispatch/sim_oracle_test.go
+++ b/dispatch/sim_oracle_test.go
@@ -8,32 +8,32 @@
 	"leverstile.dev/job"
 )
 
-// oracle checks the promises from what workers do.
+// oracle checks the scheduler's guarantees from what the simulated workers do.
 type oracle struct {
 	sim    *sim
 	broken []string
-	// runs holds where each task runs now.
+	// runs holds the workers at which each task runs now.
 	runs map[job.TaskID][]*simWorker
-	// done holds tasks whose end "done" a worker was told to forget; such an
-	// end is durable, whatever happens next.
+	// done holds the tasks whose end "done" was acknowledged to its worker; such an end
+	// is durable, whatever happens next.
 	done map[job.TaskID]bool
-	// doneAt holds ends "done" that are listed, by worker and number.
+	// doneAt holds the ends "done" that are listed, by worker and number.
 	doneAt map[*simWorker]map[uint64]job.TaskID
-	// everDone holds tasks that ended done at least once.
+	// everDone holds the tasks that have ended done at least once.
 	everDone map[job.TaskID]bool
-	// startedAt is when each task was last started, doneSince when the ends in
-	// doneAt came.
+	// startedAt is when each task was last started, doneSince when each end in doneAt
+	// occurred.
 	startedAt map[job.TaskID]time.Duration
 	doneSince map[*simWorker]map[uint64]time.Duration
-	// failures holds the failed ends of each task at workers that live on, and
+	// failures holds the failed ends of each task at workers that have not crashed, and
 	// exhausted the starts after as many of them as the queue allows.
 	failures    map[job.TaskID][]*simFailure
 	exhausted   []exhaustedStart
 	checkpoints checkpointOracle
 }
 
-// simFailure is a failed end in a worker's list; it counts once the worker was
-// told to forget it, unless its lease lapsed meanwhile.
+// simFailure is a failed end in a worker's list; it counts once it is acknowledged, unless the
+// worker's lease expired in between.
 type simFailure struct {
 	worker  *simWorker
 	number  uint64
@@ -41,14 +41,14 @@
 	counted bool
 }
 
-// exhaustedStart is a start of a task that had no attempts left, if these
-// failures all come to count.
+// exhaustedStart is a start of a task that has no attempts left if all of these failures come to
+// count.
 type exhaustedStart struct {
 	what     string
 	failures []*simFailure
 }
 
-// checkBudget fails once a start without attempts left is certain.
+// checkBudget fails once it is certain that a task was started without attempts left.
 func (o *oracle) checkBudget() {
 	for _, x := range o.exhausted {
 		n := 0
@@ -99,8 +99,8 @@
 	}
 }
 
-// evacuationBound after an evacuation, an owner that hears of it starts nothing
-// there: a start may be under way for its window.
+// evacuationBound is the time after an evacuation from which an owner that has received it starts
+// nothing there: until then, a start within its window may be in transit.
 const evacuationBound = startWindow + time.Second
 
 func (o *oracle) checkEvacuated(w *simWorker, r *simRun) {
@@ -142,9 +142,9 @@
 	o.doneSince[w][w.endedNo] = o.sim.now
 }
 
-// forgotten is told that a worker may forget ends. An end "done" that counts
-// must not be followed by a start, be it before or after this; one whose worker
-// let its lease lapse since counts no more.
+// forgotten records that ends of a worker were acknowledged. An end "done" that counts must not be
+// followed by a start, whether before or after its acknowledgement; one whose worker's lease has
+// expired since no longer counts.
 func (o *oracle) forgotten(w *simWorker, seen uint64) {
 	for n, t := range o.doneAt[w] {
 		if n <= seen {
@@ -165,7 +165,7 @@
 	o.checkBudget()
 }
 
-// acknowledged notes that a worker was told to forget an end that counts for a task.
+// acknowledged records that an end which counts for a task was acknowledged to its worker.
 func (o *oracle) acknowledged(t job.TaskID, w *simWorker, ended time.Duration) {
 	o.done[t] = true
 	if o.startedAt[t] > ended {
@@ -173,8 +173,8 @@
 	}
 }
 
-// fellows returns the tasks that an end of one task counts for: all of a gang, else it
-// alone.
+// endCountsFor returns the tasks that an end of one task counts for: all members of its gang, or
+// else the task alone.
 func (o *oracle) fellows(t job.TaskID) []job.TaskID {
 	step := &o.sim.specs[t.Job].Steps[t.Step]
 	if !step.Gang {
@@ -187,7 +187,7 @@
 	return list
 }
 
-// crashed forgets what ran at a worker.
+// crashed removes the runs at a worker that crashes.
 func (o *oracle) crashed(w *simWorker) {
 	for _, r := range w.running {
 		list := o.runs[r.task][:0]
--- a/dispatch/sim_restart_test.go
+++ b/dispatch/sim_restart_test.go
@@ -8,30 +8,31 @@
 	"leverstile.dev/job"
 )
 
-// sameIDFaults plays workers that start again under their ids, where it is switched on.
+// sameIDFaults has workers restart under their ids, where it is switched on.
 type sameIDFaults struct {
-	// sameID: all lives at a place have one id, and tell when they were born.
+	// sameID: all incarnations at a place have one id, and report their birth time.
 	sameID bool
-	// restartsPlayed counts the lives that followed another one under its id.
+	// restartsPlayed counts the incarnations that followed another one under its id.
 	restartsPlayed int
-	// unguardLives takes a safeguard away before an owner acts, and unguardPoll changes
-	// what is polled; nil changes nothing.
+	// unguardIncarnations switches a safeguard off before an owner acts, and unguardPoll
+	// changes a poll request; nil changes nothing.
 	unguardLives func(o *Core)
 	unguardPoll  func(o *Core, h *HoldOrder)
 }
 
-// Figures of restarts under the same id.
+// Limits of restarts under the same id.
 const (
-	// quickRestart is the longest that a worker is away which restarts between two polls.
+	// quickRestart is the longest downtime of a worker that restarts between two polls.
 	quickRestart = 500 * time.Millisecond
-	// mostJumpBack is how far a worker's time of day may jump back between two lives.
+	// maxClockJumpBack is how far a worker's time of day may jump back between two
+	// incarnations.
 	mostJumpBack = time.Hour
-	// simEpoch is the time of day at the beginning, in Unix milliseconds.
+	// simEpoch is the time of day at the start of the simulation, in Unix milliseconds.
 	simEpoch = 1_700_000_000_000
 )
 
-// noteEndedUnread counts a crash also for tasks that had ended at the worker while nobody had
-// read that: to their owner they were still there.
+// recordEndedUnread counts a crash also for tasks that had ended at the worker if no owner had read
+// the end: to their owner they were still running.
 func (s *sim) noteEndedUnread(w *simWorker) {
 	if !s.sameID {
 		return
@@ -43,8 +44,8 @@
 	}
 }
 
-// restartsUnderOneID plays workers that crash and come back under their ids, many at a
-// time and some at once.
+// restartsUnderOneID simulates workers that crash and restart under their ids, many at a time and
+// some of them immediately.
 func restartsUnderOneID(s *sim) {
 	s.useSameIDs()
 	s.delayShare = 0.02
@@ -60,8 +61,8 @@
 	}
 }
 
-// restartsOfAll plays them beside lasting tasks, gangs, restarts of the owner and entries
-// that are written late.
+// restartsOfAll simulates such restarts together with long-running tasks, gangs, restarts of the
+// owner and entries that are written late.
 func restartsOfAll(s *sim) {
 	s.useSameIDs()
 	s.lasting, s.gangJobs, s.slowStops, s.longPolls, s.oldEntries, s.delayShare, s.breakShare = true, true, true, true, true, 0.02, 0.02
@@ -77,7 +78,7 @@
 	}
 }
 
-// restartsAmidLateCalls plays them while many calls are carried out seconds later.
+// restartsAmidLateCalls simulates such restarts while many calls are carried out seconds later.
 func restartsAmidLateCalls(s *sim) {
 	s.useSameIDs()
 	s.lasting = true
@@ -87,13 +88,13 @@
 	}
 }
 
-// restartsAmidMoreLateCalls plays more of these calls, for safeguards that are seldom needed.
+// restartsAmidMoreLateCalls adds more of these calls, for safeguards that are rarely needed.
 func restartsAmidMoreLateCalls(s *sim) {
 	restartsAmidLateCalls(s)
 	s.delayShare = 0.3
 }
 
-// restartsUnderOldOwners plays them while owners are replaced that still give orders.
+// restartsUnderOldOwners simulates such restarts while replaced owners still send orders.
 func restartsUnderOldOwners(s *sim) {
 	s.useSameIDs()
 	s.extra = func(s *sim) {
@@ -106,7 +107,7 @@
 	}
 }
 
-// restartsBehindCuts plays workers that restart and are cut off soon.
+// restartsBehindCuts simulates workers that restart and are cut off soon after.
 func restartsBehindCuts(s *sim) {
 	s.useSameIDs()
 	s.extra = func(s *sim) {
@@ -122,15 +123,15 @@
 
 func (s *sim) useSameIDs() {
 	s.sameID = true
-	s.deadRefuse = true                // no life of another id answers between two of one
-	s.onCrashed = map[job.TaskID]int{} // a job may be given up whose tasks ran at many of them
+	s.deadRefuse = true                // no incarnation of another id answers between two of one id
+	s.onCrashed = map[job.TaskID]int{} // a job may be given up whose tasks ran at many workers that crashed
 	s.settleMore = 30 * time.Second
 	for _, w := range s.workers {
 		w.shareID()
 	}
 }
 
-// shareID gives a new life the id of its place. Its clock starts anew: near 0, or anywhere.
+// shareID gives a new incarnation the id of its place. Its clock starts near 0 or anywhere.
 func (w *simWorker) shareID() {
 	s := w.sim
 	born := simEpoch + s.now.Milliseconds() + int64(s.lives)
@@ -143,7 +144,7 @@
 	}
 }
 
-// away is how long a worker is away after a crash.
+// downtime returns how long a worker is down after a crash.
 func (s *sim) away() time.Duration {
 	if s.sameID && s.rng.IntN(2) == 0 {
 		return s.within(quickRestart)
@@ -151,8 +152,8 @@
 	return time.Duration(200+s.rng.IntN(4000)) * time.Millisecond
 }
 
-// reached returns the life that a call meets which was sent to another one: the one that is
-// there now, where lives share an id.
+// reached returns the incarnation that receives a call sent to w: the current one at its address,
+// where incarnations share an id.
 func (s *sim) reached(w *simWorker) *simWorker {
 	if now := s.byAddress(w.info.Address); s.sameID && now != nil {
 		return now
@@ -160,12 +161,12 @@
 	return w
 }
 
-// restartSeeds is how many seeds of restarts under the same id are played.
+// restartSeeds is the number of seeds for restarts under the same id.
 const restartSeeds = 12
 
-// TestRestartsUnderTheSameID: no task runs twice and none is lost, whenever workers restart
-// under the ids that they had. With -short, as under the race detector, which a simulation in
-// one goroutine does not need, it plays two seeds of all faults at once.
+// TestRestartsUnderTheSameID guards against tasks that run twice or are lost when a worker restarts
+// under its id at any time. With -short, as under the race detector, which a simulation in one
+// goroutine does not need, it runs two seeds of the case that combines the faults.
 func TestRestartsUnderTheSameID(t *testing.T) {
 	for name, setup := range map[string]func(*sim){
 		"crashes": restartsUnderOneID, "all": restartsOfAll, "late calls": restartsAmidLateCalls, "old owners": restartsUnderOldOwners, "cuts": restartsBehindCuts,
@@ -190,17 +191,17 @@
 			}
 			t.Logf("%d restarts", played)
 			if played == 0 {
-				t.Error("no restart was played")
+				t.Error("no restart was simulated")
 			}
 		})
 	}
 }
 
-// TestRestartMutations removes one safeguard of restarts under the same id at a time: the oracle
-// must find each.
+// TestRestartMutations removes one safeguard of restarts under the same id at a time; the oracle must
+// detect each removal.
 func TestRestartMutations(t *testing.T) {
 	if testing.Short() {
-		t.Skip("it is played without -short")
+		t.Skip("runs without -short")
 	}
 	for _, m := range []struct {
 		name   string
@@ -243,7 +244,7 @@
 					return
 				}
 			}
-			t.Errorf("not found in %d seeds", mutationSeeds)
+			t.Errorf("not detected in %d seeds", mutationSeeds)
 		})
 	}
 }
--- a/dispatch/sim_test.go
+++ b/dispatch/sim_test.go
@@ -10,33 +10,34 @@
 	"leverstile.dev/job"
 )
 
-// delivery is a call or an answer on its way.
+// delivery is a call or an answer in transit.
 type delivery struct {
 	at  time.Duration
 	n   int
 	run func()
 }
 
-// simOwner is one process that runs a core.
+// simOwner is one process that runs a Core as owner of the cell.
 type simOwner struct {
 	core *Core
-	// lag is how late a process that lacks processor time does each thing: it
-	// sends what it decided, and reads what was answered, up to lag later.
+	// lag is the most by which a process that lacks processor time is late: it sends
+	// its orders and reads the answers up to lag later.
 	lag      time.Duration
 	dead     bool
 	paused   bool
 	cutStore bool
-	// troubledAt is when it was last cut off, paused, late or without the store.
+	// lastFaultAt is when it was last cut off, paused, late or without the store.
 	troubledAt time.Duration
 	polling    map[WorkerID]bool
-	leadEnd    time.Duration // when its lease at the store is over
+	leadEnd    time.Duration // when its lease at the store expires
 	writing    bool
 	removing   bool
-	// handedOver: its lease was ended at the store, which it has not heard yet.
+	// handedOver: its lease was ended at the store, and it has not received that yet.
 	handedOver bool
 }
 
-// sim drives owners against workers and a store, with faults, in virtual time.
+// sim runs owners against workers and a store in virtual time and injects faults; its oracle checks
+// what the workers do.
 type sim struct {
 	rng          *rand.Rand
 	now          time.Duration
@@ -63,13 +64,13 @@
 	takeovers    int
 	renewalsLost time.Duration            // until then
 	evacuated    map[string]time.Duration // since when, by data centre
-	// Safeguards that are off.
+	// Safeguards that are switched off.
 	dropRoster, ackEarly, noFence, shortLease, dropTasks, unawareLate, hastyRetry bool
-	// blindTakeover: a new owner does not read what is evacuated; unevacuated: nobody
-	// is told.
+	// blindTakeover: a new owner does not read which data centres are evacuated;
+	// hideEvacuations: no owner is told.
 	blindTakeover, unevacuated bool
-	// strict: no task starts again that has ended done, known to the owner or
-	// not. That holds while workers can be reached and the owner lives.
+	// strict: no task that has ended done starts again, whether its owner has read the
+	// end or not. That holds while the owner lives and all workers are reachable.
 	strict bool
 
 	moreFaults
@@ -81,7 +82,7 @@
 	trace   []string
 }
 
-// simDataCentres is how many data centres the workers are in.
+// simDataCentres is the number of data centres that the workers are spread over.
 const simDataCentres = 2
 
 const (
@@ -132,8 +133,8 @@
 	return w.cut || w.cutAbove > 0 && token >= w.cutAbove+TokensPerTerm
 }
 
-// call models a call: it may be lost before or after it is carried out, or be
-// carried out seconds later without an answer.
+// call simulates a call: it may get lost before or after it is carried out, or be carried out
+// seconds later without an answer.
 func (s *sim) call(o *simOwner, w *simWorker, term uint64, do func(w *simWorker), answered func(), lost func()) {
 	if o.lag > 0 {
 		late := func() time.Duration { return time.Duration(s.rng.Int64N(int64(o.lag))) }
@@ -141,7 +142,7 @@
 		answered = func() { s.later(read, in) }
 		lost = func() { s.later(read, out) }
 		if read > callTimeout {
-			answered = lost // it gives up before it reads
+			answered = lost // the caller times out before it reads the answer
 		}
 		s.later(send, func() { s.travel(w, term, do, answered, lost) })
 		return
@@ -149,7 +150,7 @@
 	s.travel(w, term, do, answered, lost)
 }
 
-// callTimeout is how long a call waits for its answer.
+// callTimeout is the time after which a call without an answer is given up.
 const callTimeout = 400 * time.Millisecond
 
 func (s *sim) travel(w *simWorker, term uint64, do func(w *simWorker), answered func(), lost func()) {
@@ -188,7 +189,7 @@
 	return nil
 }
 
-// takeover starts a new owner on what the store holds.
+// takeover starts a new owner from the state in the store.
 func (s *sim) takeover() {
 	if s.owner != nil {
 		s.old = append(s.old, s.owner)
@@ -279,7 +280,7 @@
 	}
 }
 
-// watched delivers a change of the store to an owner, once it reaches it.
+// deliverWatch delivers a change in the store to an owner once the store is reachable for it.
 func (s *sim) watched(o *simOwner, f func()) {
 	if o.cutStore || s.storeDown {
 		s.later(100*time.Millisecond, func() { s.watched(o, f) })
@@ -299,8 +300,8 @@
 	}
 }
 
-// setEvacuated evacuates a data centre or takes that back; owners hear of it as
-// they hear of jobs.
+// setEvacuated evacuates a data centre or ends its evacuation; owners receive that through their
+// watches.
 func (s *sim) setEvacuated(dc string, evacuated bool) {
 	if !evacuated {
 		delete(s.evacuated, dc)
@@ -320,11 +321,11 @@
 	}
 }
 
-// simRosterParts is the most parts of the roster in one write.
+// simRosterParts is the maximum number of roster parts in one write.
 const simRosterParts = 2
 
-// flush writes progress, unless the store is down or another owner has taken
-// over: the store checks that.
+// flush writes progress unless the store is down or another owner has taken over, which the store
+// checks.
 func (s *sim) flush(o *simOwner) {
 	s.removeExpired(o)
 	if s.storeDown || o.cutStore || o != s.owner || o.handedOver || o.writing {
@@ -372,7 +373,7 @@
 	})
 }
 
-// drive lets one owner act.
+// drive lets one owner do the work that is due.
 func (s *sim) drive(o *simOwner) {
 	if o.dead || o.paused || o.lag > 0 || o.cutStore || s.storeDown {
 		o.troubledAt = s.now
@@ -470,7 +471,7 @@
 		}, lost)
 }
 
-// holdDone takes in an answer. With hastyRetry, tasks that failed are started
+// pollDone has a core process a poll reply. With retryBeforeLists, tasks that failed are started
 // again as if all workers of the previous owner had answered.
 func (s *sim) holdDone(core *Core, order HoldOrder, reply HoldReply, outcome Outcome) time.Duration {
 	w := core.workers[order.Worker]
@@ -487,7 +488,7 @@
 	return core.HoldDone(order, reply, outcome, s.instant())
 }
 
-// step advances virtual time by one tick and lets all act.
+// step advances virtual time by one tick and lets workers and owners act.
 func (s *sim) step() {
 	end := s.now + 20*time.Millisecond
 	for {
@@ -510,7 +511,7 @@
 		w.advance()
 	}
 	if s.now < s.renewalsLost {
-		// Renewals are carried out or not; the owner hears of none.
+		// Renewals are carried out or not; the owner gets no answer to them.
 	} else if s.owner != nil && !s.owner.handedOver && !s.owner.dead && !s.owner.paused && !s.owner.cutStore && !s.storeDown {
 		s.owner.leadEnd = s.now + simTTL
 		s.owner.core.Renewed(s.now)
@@ -530,7 +531,7 @@
 	}
 }
 
-// crash ends a worker's life; another one comes at its address.
+// crash ends an incarnation of a worker; the next one starts at its address.
 func (s *sim) crash(i int) {
 	w := s.workers[i]
 	if !w.alive {
--- a/dispatch/sim_worker_test.go
+++ b/dispatch/sim_worker_test.go
@@ -7,8 +7,8 @@
 	"leverstile.dev/job"
 )
 
-// simWorker is a stand-in of a worker behind the port: it checks terms,
-// deadlines, run numbers and room, and lists ends until they are forgotten.
+// simWorker simulates one incarnation of a worker: it checks terms, deadlines, run numbers and
+// capacity, and lists the ends of runs until they are acknowledged.
 type simWorker struct {
 	sim    *sim
 	info   WorkerInfo
@@ -17,9 +17,9 @@
 	born   time.Duration
 	alive  bool
 	cut    bool // calls to it get lost
-	bad    bool // it fails all that it starts
-	// cutAbove loses calls of later terms only, if set: the next owner can't
-	// reach a worker that this one reaches.
+	bad    bool // all its runs fail
+	// cutAbove, if set, loses only calls of later terms: the next owner can't reach a
+	// worker that this one reaches.
 	cutAbove uint64
 	term     uint64
 	lease    int64
@@ -28,8 +28,8 @@
 	endedNo  uint64
 	highest  map[job.TaskID]uint64 // highest run stopped or ended here
 	seen     uint64
-	lapsed   time.Duration // when its lease was last found to be over
-	// unwellUntil: until then it refuses starts, and does nothing for them.
+	lapsed   time.Duration // when its lease was last found to have expired
+	// unwellUntil: until then it refuses starts without carrying them out.
 	unwellUntil time.Duration
 	unlisted    time.Duration // until then the platform does not list it
 }
@@ -40,13 +40,13 @@
 	ends  time.Duration // when its work is done
 	fails bool
 	since time.Duration
-	// stopping: a stop was ordered and takes its time.
+	// stopping: a stop was ordered and is not yet complete.
 	stopping bool
-	gang     *simGang // of a gang's member
+	gang     *simGang // set for a member of a gang
 	work     simWork
 }
 
-// percent returns the part of the run's work that is done.
+// percent returns the share of the run's work that is done.
 func (r *simRun) percent(now time.Duration) int {
 	return int(100 * (now - r.since) / max(r.ends-r.since, 1))
 }
@@ -55,7 +55,7 @@
 	return w.offset + int64(float64((w.sim.now-w.born).Milliseconds())*w.rate)
 }
 
-// advance ends what is over by now.
+// advance ends the runs whose work is done or whose lease has expired.
 func (w *simWorker) advance() {
 	if !w.alive {
 		return
@@ -74,7 +74,7 @@
 	}
 }
 
-// endKind is how a run ends by itself.
+// endKind returns how the run ends if nothing stops it.
 func (r *simRun) endKind() EndKind {
 	switch {
 	case r.gang != nil && !r.gang.whole:
@@ -104,7 +104,7 @@
 	r.gang.left(w.sim, kind)
 }
 
-// hold carries out a HoldOrder.
+// poll carries out a poll request.
 func (w *simWorker) hold(h HoldOrder) (HoldReply, Outcome) {
 	w.advance()
 	if !w.alive || h.Worker.Name() != w.info.ID.Name() {
@@ -127,7 +127,7 @@
 	return w.lists(), OutcomeOK
 }
 
-// lists returns what the worker tells of itself.
+// lists returns the worker's running and ended tasks.
 func (w *simWorker) lists() HoldReply {
 	reply := HoldReply{ClockMS: w.clock(), Born: w.info.ID.Born(), Ended: append([]EndedTask(nil), w.ended...)}
 	for _, r := range w.sorted() {
@@ -175,8 +175,8 @@
 	return Answer{Outcome: OutcomeOK, ClockMS: w.clock()}
 }
 
-// stop ends a run, with slowStops some time later: it runs until then, and may end
-// by itself.
+// stop ends a run. With slowStops it ends some time later, runs until then, and may end by itself
+// before.
 func (w *simWorker) stop(r *simRun) {
 	if !w.sim.slowStops {
 		w.end(r, EndStopped)
@@ -194,14 +194,14 @@
 	})
 }
 
-// simStopTime is the longest that a stop takes.
+// simStopTime is the maximum time that a stop takes.
 const simStopTime = 900 * time.Millisecond
 
-// simStartGap is the longest that a worker takes between a start's check and the start.
+// simStartGap is the maximum time that a worker takes between checking a start and starting.
 const simStartGap = 30 * time.Millisecond
 
-// startAfterGap carries out a start whose term was checked, a moment later. Calls that come
-// meanwhile are served, and the answer gets lost.
+// startAfterGap carries out a start up to simStartGap after its term was checked. Calls that arrive
+// in between are served, and the answer to the start gets lost.
 func (w *simWorker) startAfterGap(o Order) Answer {
 	w.sim.gaps++
 	w.sim.later(w.sim.within(simStartGap), func() {
@@ -248,8 +248,8 @@
 	return Answer{Outcome: OutcomeOK, ClockMS: clock}
 }
 
-// wrongLife is what a call to an ended life meets: the next one, or a port where nobody
-// listens yet.
+// wrongIncarnation returns the outcome of a call to an ended incarnation: the next one answers it,
+// or nothing listens on the port yet.
 func (w *simWorker) wrongLife() Outcome {
 	if !w.alive && w.sim.deadRefuse {
 		return OutcomeBroken
