--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -8,7 +8,7 @@
 	"leverstile.dev/job"
 )
 
-// benchCore is a core with workers that all serve lasting tasks.
+// benchCore returns a core whose workers all run long-running serving tasks.
 func benchCore(b *testing.B, workers int) *Core {
 	b.Helper()
 	core := New(Params{MaxTaskLease: 6 * time.Second, OwnerTTL: time.Hour, OwnerHorizon: time.Hour, JobKept: time.Hour}, 1, nil)
@@ -33,9 +33,9 @@
 	return core
 }
 
-// BenchmarkStart is a task of a filling job from hand-in to its recorded end. It
-// took 3.9, 20 and 92 microseconds while each task was a walk over all workers
-// and each pass rated their openness; it takes 1.5, 3.2 and 11.
+// BenchmarkStart measures a fill task from submission to its recorded end, at 66, 490 and 2000
+// workers: 1.5, 3.2 and 11 microseconds. Scanning all workers for each task and rating their fill
+// acceptance in each pass takes 3.9, 20 and 92.
 func BenchmarkStart(b *testing.B) {
 	for _, workers := range []int{66, 490, 2000, 5000, 50_000} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
@@ -72,8 +72,8 @@
 	}
 }
 
-// waitingCore is a core with steps that wait, each of a shape of its own: every
-// task is larger than a worker. Half of the steps fill.
+// waitingCore returns a core with waiting steps, each with a request of its own that is larger than
+// any worker. Half of the steps are fill steps.
 func waitingCore(b *testing.B, workers, steps int) (*Core, Instant) {
 	b.Helper()
 	core := benchCore(b, workers)
@@ -92,10 +92,10 @@
 	return core, now
 }
 
-// BenchmarkPass is a scheduling pass, 8 ms after the one before, with steps
-// that wait for room. Eight workers have sent their lists meanwhile. With a walk
-// over all workers for each step a pass took 0.18, 0.65 and 2.5 ms at 490 workers
-// with 20, 100 and 400 steps; it takes 0.011, 0.035 and 0.13 ms.
+// BenchmarkPass measures a scheduling pass 8 ms after the previous one, with steps that wait for
+// capacity, while eight workers have sent their lists in between. At 490 workers with 20, 100 and 400
+// steps it takes 0.011, 0.035 and 0.13 ms; a scan of all workers for each step takes 0.18, 0.65 and
+// 2.5 ms.
 func BenchmarkPass(b *testing.B) {
 	for _, steps := range []int{20, 100, 400} {
 		b.Run(fmt.Sprintf("workers=490/steps=%d", steps), func(b *testing.B) {
@@ -118,8 +118,8 @@
 	}
 }
 
-// BenchmarkListMixed is a list of tasks that serve and fill, with readings that
-// change, so that the model learns and paces are shared anew.
+// BenchmarkListMixed measures a list of serving and fill tasks whose readings change, so that the
+// model is updated and paces are distributed again.
 func BenchmarkListMixed(b *testing.B) {
 	core := benchCore(b, 490)
 	now := Instant{Steady: 2 * time.Second}
@@ -159,7 +159,7 @@
 	b.ReportMetric(float64(rows)/float64(len(ids)), "tasks")
 }
 
-// BenchmarkList is a worker's list of its running tasks, with readings.
+// BenchmarkList measures a worker's list of its running tasks, with readings.
 func BenchmarkList(b *testing.B) {
 	core := benchCore(b, 66)
 	now := Instant{Steady: 2 * time.Second}
@@ -176,9 +176,9 @@
 	}
 }
 
-// BenchmarkPassAfterAWave is a pass over 600 suspects of 300 steps, as a wave of crashes leaves
-// them at 490 workers: 13.0 ms with the workers looked through for each suspect, 5.9 ms with
-// what they share kept for the pass.
+// BenchmarkPassAfterCrashWave measures a pass over 600 suspect tasks of 300 steps, as a wave of
+// crashes leaves them at 490 workers: 13.0 ms if the workers are scanned for each suspect, 5.9 ms if
+// the result that they share is kept for the pass.
 func BenchmarkPassAfterAWave(b *testing.B) {
 	const steps, workers = 300, 490
 	for b.Loop() {
--- a/dispatch/growth_test.go
+++ b/dispatch/growth_test.go
@@ -8,7 +8,7 @@
 	"leverstile.dev/job"
 )
 
-// fleetSizes returns the numbers of workers at which work is counted.
+// fleetSizes returns the numbers of workers at which the scans are counted.
 func fleetSizes() []int {
 	if testing.Short() {
 		return []int{500, 5000}
@@ -16,14 +16,14 @@
 	return []int{500, 5000, 50_000}
 }
 
-// Shape of the fleets whose work is counted.
+// Shape of the fleets.
 const (
 	growthCentres = 6
 	growthRack    = 20
 	growthJobs    = 5
 )
 
-// growthFleet is a core whose workers have one task each that lasts.
+// growthFleet is a core whose workers each run one long-running task.
 type growthFleet struct {
 	t    testing.TB
 	core *Core
@@ -60,7 +60,7 @@
 	return f
 }
 
-// silence has all workers of a data centre leave polls unanswered, and the others answer.
+// silenceDataCentre has all workers of a data centre leave polls unanswered while the others answer.
 func (f *growthFleet) silence(centre string) {
 	f.t.Helper()
 	f.now.Steady += time.Second
@@ -79,11 +79,9 @@
 	}
 }
 
-// TestATickWithALostDataCentreLooksAtEachWorkerOnce: whether the owner reaches most workers
-// is found out once a tick, not for each worker that is silent.
-//
-// Users would see an owner that is late for as long as a data centre is lost: with 1,000 of
-// 6,000 workers silent, a tick looked at workers six million times.
+// TestTickWithLostDataCentreScansEachWorkerOnce guards against an owner that is late for as long as a
+// data centre is lost, because it determines for each silent worker whether it reaches most workers:
+// with 1,000 of 6,000 workers silent, a tick then scans workers six million times.
 func TestATickWithALostDataCentreLooksAtEachWorkerOnce(t *testing.T) {
 	for _, workers := range fleetSizes() {
 		f := newGrowthFleet(t, workers)
@@ -92,13 +90,13 @@
 		before := f.core.work.reachLooks
 		f.core.Tick(f.now)
 		if looks := f.core.work.reachLooks - before; looks > uint64(workers) {
-			t.Errorf("%d workers: %d looks in a tick", workers, looks)
+			t.Errorf("%d workers: %d scans in a tick", workers, looks)
 		}
 	}
 }
 
-// TestAStoredWriteLooksAtWorkersWithEnds: a write of progress that is stored costs as much as
-// there are workers whose ends wait for it.
+// TestStoredWriteScansOnlyWorkersWithEnds guards against a cost of each stored write of progress that
+// grows with all workers instead of those whose ends wait for it.
 func TestAStoredWriteLooksAtWorkersWithEnds(t *testing.T) {
 	for _, workers := range fleetSizes() {
 		f := newGrowthFleet(t, workers)
@@ -112,16 +110,14 @@
 		before := f.core.work.endLooks
 		f.core.Persisted(records)
 		if looks := f.core.work.endLooks - before; looks > 1 {
-			t.Errorf("%d workers: %d looks for one with an end", workers, looks)
+			t.Errorf("%d workers: %d scans for one with an end", workers, looks)
 		}
 	}
 }
 
-// TestAChangeOfOneWorkerWritesOnePart: what the store is told when a worker begins to drain,
-// or joins, does not grow with the number of workers.
-//
-// Users would see no starts at all beyond some 10,000 workers, whose list in one value is
-// larger than the store takes; below that, megabytes for each change of one worker.
+// TestWorkerChangeWritesOneRosterPart guards against writes that grow with the number of workers when
+// one of them starts to drain or joins. In one value, a list of more than some 10,000 workers exceeds
+// the store's limit, so that nothing starts; a shorter one costs megabytes for each change.
 func TestAChangeOfOneWorkerWritesOnePart(t *testing.T) {
 	const most = 10_000 // bytes
 	for _, workers := range fleetSizes() {
@@ -148,8 +144,8 @@
 	return n
 }
 
-// TestSlowWorkersAreCountedOnce: whether too many workers are slow is not found out anew for
-// each list of a slow one.
+// TestSlowWorkersAreCountedOnce guards against counting the slow workers again for each list of a
+// slow one.
 func TestSlowWorkersAreCountedOnce(t *testing.T) {
 	for _, workers := range fleetSizes() {
 		f := newGrowthFleet(t, workers)
@@ -158,7 +154,7 @@
 			f.core.spareSlow(w, f.now)
 		}
 		if looks := f.core.work.slowLooks - before; looks > uint64(workers) {
-			t.Errorf("%d workers: %d looks for the lists of half of them", workers, looks)
+			t.Errorf("%d workers: %d scans for the lists of half of them", workers, looks)
 		}
 	}
 }
--- a/dispatch/sim_calm_test.go
+++ b/dispatch/sim_calm_test.go
@@ -8,8 +8,8 @@
 	"leverstile.dev/job"
 )
 
-// TestCalmGangsAreNeverAlone: without any fault, no member of a gang waits for the others in
-// vain, also while jobs are cancelled.
+// TestFaultFreeGangMembersNeverEndAlone guards against gang members that time out waiting for the
+// others although no fault occurs, also while jobs are cancelled.
 func TestCalmGangsAreNeverAlone(t *testing.T) {
 	for seed := range uint64(10) {
 		s := newSim(seed, 4)
@@ -33,7 +33,8 @@
 	}
 }
 
-// TestAllEndsAreForgotten: once the faults are over, workers may forget all ends.
+// TestAllEndsAreAcknowledged guards against ends that a worker lists forever: once the faults are
+// over, all of them must be acknowledged.
 func TestAllEndsAreForgotten(t *testing.T) {
 	for seed := range uint64(10) {
 		s := faultsRun(seed, lateAnswers)
@@ -45,17 +46,17 @@
 	}
 }
 
-// simIdleLimit is the longest that a job may have nothing running while there is room.
+// simIdleLimit is the longest that a job may have nothing running while capacity is free.
 const simIdleLimit = 3 * time.Second
 
-// idleJobs follows since when each job has had nothing running.
+// idleJobs tracks since when each job has had nothing running.
 type idleJobs struct {
 	sim   *sim
 	since map[string]time.Duration
 }
 
-// look reports the jobs that have waited too long. Time in which half of the processors are taken
-// does not count.
+// check fails for a job that has waited too long. Time in which more than half of the processors are
+// in use does not count.
 func (i *idleJobs) look(t *testing.T) {
 	t.Helper()
 	s := i.sim
@@ -79,13 +80,14 @@
 			i.since[id] = max(s.now, due)
 		}
 		if waited := s.now - i.since[id]; waited > simIdleLimit {
-			t.Fatalf("%v: job %s has had nothing running for %v, %d of %d are taken", s.now, id, waited, taken, size)
+			t.Fatalf("%v: job %s has had nothing running for %v, %d of %d millicores are in use", s.now, id, waited, taken, size)
 		}
 	}
 }
 
-// TestJobsWithRoomAreNotIdle: without faults but failing tasks, with a worker that fails all that it
-// starts, or with stops that take their time, a job does not wait while there is room.
+// TestJobsDoNotWaitWhileCapacityIsFree guards against jobs that are left waiting without faults,
+// with failing tasks, with a worker at which all runs fail, with workers that refuse starts, or with
+// slow stops.
 func TestJobsWithRoomAreNotIdle(t *testing.T) {
 	for name, setup := range map[string]func(s *sim){
 		"calm":       func(*sim) {},
@@ -116,7 +118,7 @@
 	}
 }
 
-// notDone returns a task of a job that has not ended done, if there is one.
+// notDone returns a task of the job that has not ended done, if there is one.
 func (o *oracle) notDone(spec *job.Spec) (job.TaskID, bool) {
 	for occurrence := range spec.Times() {
 		for step := range spec.Steps {
--- a/dispatch/sim_checkpoint_faults_test.go
+++ b/dispatch/sim_checkpoint_faults_test.go
@@ -11,13 +11,12 @@
 	"leverstile.dev/job"
 )
 
-// checkpointSeeds is how many seeds of each kind of fault are played with jobs that keep
-// checkpoints; the first is that of the other runs.
+// checkpointSeeds is the number of seeds for each kind of fault with jobs that keep checkpoints; the
+// first one is that of the other runs.
 var checkpointSeeds = flag.Uint64("dispatch.checkpoints", 2, "number of seeds of each kind of fault with checkpoints")
 
-// checkpointRun plays one seed of faultsRun with jobs that keep checkpoints as well. Fills
-// that are halted stay long, and may be at several workers that crash by chance; see
-// mayBeGivenUp.
+// checkpointRun runs one seed of faultsRun with additional jobs that keep checkpoints. Fill tasks that
+// are halted stay long, and may by chance run at several workers that crash; see mayBeGivenUp.
 func checkpointRun(seed uint64, setup, mutate func(s *sim)) *sim {
 	return faultsRun(seed, func(s *sim) {
 		s.checkpointJobs, s.onCrashed = true, map[job.TaskID]int{}
@@ -32,7 +31,7 @@
 	})
 }
 
-// checkpointTally sums up what was played of checkpoints.
+// checkpointTally sums up the use of checkpoints over several runs.
 type checkpointTally struct {
 	brought, jobs, paced, moved int
 	less                        map[string]int
@@ -57,13 +56,13 @@
 
 func (c *checkpointTally) log(t *testing.T) {
 	t.Helper()
-	t.Logf("%d jobs, %d starts with a checkpoint, %d orders of a pace, %d moves for memory or readings; %.1f s of work not continued from", c.jobs, c.brought, c.paced, c.moved, c.wasted)
+	t.Logf("%d jobs, %d starts with a checkpoint, %d pace orders, %d preemptions for memory or readings; %.1f s of work repeated", c.jobs, c.brought, c.paced, c.moved, c.wasted)
 	for _, class := range slices.Sorted(maps.Keys(c.less)) {
-		t.Logf("%d brought less than %s; %s", c.less[class], class, c.examples[class])
+		t.Logf("%d starts with less work than %s; %s", c.less[class], class, c.examples[class])
 	}
 }
 
-// TestCheckpointFaults plays all kinds of faults with jobs that keep checkpoints.
+// TestCheckpointFaults runs all kinds of faults with jobs that keep checkpoints.
 func TestCheckpointFaults(t *testing.T) {
 	cases := append([]faultCase{{name: "plain faults", inShort: true}}, moreFaultCases()...)
 	tally := checkpointTally{less: map[string]int{}, examples: map[string]string{}}
@@ -85,11 +84,11 @@
 	}
 	tally.log(t)
 	if tally.brought == 0 || tally.paced == 0 || tally.moved == 0 {
-		t.Error("no checkpoint was brought, or no fill was slowed or moved")
+		t.Error("no start had a checkpoint, or no fill task was slowed or preempted")
 	}
 }
 
-// foreignCheckpoint replaces the checkpoint of a start, where that is of a step that fits.
+// foreignCheckpoint replaces the checkpoint of a start if fits accepts its step.
 func foreignCheckpoint(fits func(s *stepRun) bool, other func(t *task) string) func(s *sim) {
 	return func(s *sim) {
 		s.alterStart = func(core *Core, o *Order) {
@@ -100,7 +99,7 @@
 	}
 }
 
-// checkpointMutations removes one safeguard at a time.
+// checkpointMutations returns changes that each remove one safeguard.
 func checkpointMutations() map[string]func(s *sim) {
 	return map[string]func(s *sim){
 		"a step's checkpoint is used for plain tasks": foreignCheckpoint(
@@ -159,7 +158,7 @@
 	}
 }
 
-// noteEach notes the checkpoint told of each task.
+// recordCheckpoints records the checkpoint that a reply reports for each task.
 func noteEach(told map[job.TaskID]string, reply *HoldReply) {
 	for i := range reply.Running {
 		told[reply.Running[i].Task] = reply.Running[i].Checkpoint
@@ -169,7 +168,7 @@
 	}
 }
 
-// lieOfPlainSteps has workers tell a checkpoint of each task whose step keeps none.
+// falsifyPlainSteps has workers report a checkpoint for each task whose step keeps none.
 func lieOfPlainSteps(s *sim) {
 	s.lie = func(w *simWorker, reply *HoldReply) {
 		for i := range reply.Running {
@@ -187,7 +186,7 @@
 	}
 }
 
-// TestCheckpointMutations removes one safeguard at a time: the oracle must find each.
+// TestCheckpointMutations removes one safeguard at a time; the oracle must detect each removal.
 func TestCheckpointMutations(t *testing.T) {
 	mutations := checkpointMutations()
 	for _, name := range slices.Sorted(maps.Keys(mutations)) {
@@ -198,12 +197,12 @@
 					return
 				}
 			}
-			t.Errorf("not found in %d seeds", mutationSeeds)
+			t.Errorf("not detected in %d seeds", mutationSeeds)
 		})
 	}
 }
 
-// lieOfUnknownRuns has workers list runs that no owner ordered, with a checkpoint.
+// falsifyUnknownRuns has workers list runs that no owner ordered, with a checkpoint.
 func lieOfUnknownRuns(s *sim) {
 	const firstUnknown = 1 << 20 // beyond the starts of a term
 	s.lie = func(w *simWorker, reply *HoldReply) {
@@ -222,8 +221,8 @@
 	}
 }
 
-// TestCheckpointsThatDoNotCount: workers tell checkpoints of steps that keep none, or with runs
-// that no owner ordered, beside all faults; no start brings one.
+// TestCheckpointsThatDoNotCount guards against starts that use a false checkpoint: workers report
+// checkpoints for steps that keep none, or for runs that no owner ordered, together with all faults.
 func TestCheckpointsThatDoNotCount(t *testing.T) {
 	for name, lie := range map[string]func(s *sim){"of plain steps": lieOfPlainSteps, "of unknown runs": lieOfUnknownRuns} {
 		t.Run(name, func(t *testing.T) {
@@ -237,9 +236,9 @@
 					t.Fatalf("seed %d", seed)
 				}
 			}
-			t.Logf("%d lies", lies)
+			t.Logf("%d false entries", lies)
 			if lies == 0 {
-				t.Error("no lie was told")
+				t.Error("no false checkpoint was reported")
 			}
 		})
 	}
--- a/dispatch/sim_checkpoint_oracle_test.go
+++ b/dispatch/sim_checkpoint_oracle_test.go
@@ -7,30 +7,30 @@
 	"leverstile.dev/job"
 )
 
-// checkpointOracle checks that starts bring checkpoints of their own tasks.
+// checkpointOracle checks that starts carry checkpoints of their own tasks.
 type checkpointOracle struct {
-	// told holds what workers have listed.
+	// reported holds the checkpoints that workers have listed.
 	told map[string]bool
-	// gangs holds what the first member of a gang's run brought.
+	// gangs holds the checkpoint that the first started member of a gang's run carried.
 	gangs map[gangID]string
-	// newest holds the checkpoint with the most work that an owner was told of a task.
+	// newest holds the reported checkpoint with the most work, by owner and task.
 	newest map[tellKey]toldCheckpoint
-	// brought counts the starts that brought one, and less those that brought less than
-	// the newest told to their owner, by class; wasted is the work between.
+	// resumed counts the starts with a checkpoint, and stale, by class, those with less
+	// work than the newest one reported to their owner; repeated is the difference.
 	brought int
 	less    map[string]int
 	wasted  time.Duration
-	// examples holds the first of each class.
+	// examples holds the first start of each class.
 	examples map[string]string
 }
 
-// tellKey names what one owner was told of a task or gang.
+// reportKey identifies the checkpoints of a task or gang that one owner received.
 type tellKey struct {
 	term uint64
 	of   job.TaskID
 }
 
-// toldCheckpoint is a checkpoint as an owner was told of it.
+// reportedCheckpoint is a checkpoint as an owner received it.
 type toldCheckpoint struct {
 	text  string
 	task  job.TaskID
@@ -38,7 +38,7 @@
 	ended bool
 	kind  EndKind
 	at    time.Duration
-	// current is set if its run was the one that the owner expected then.
+	// current is set if the owner expected its run at that time.
 	current bool
 }
 
@@ -49,7 +49,7 @@
 	}
 }
 
-// listed notes the checkpoints that a worker lists.
+// listed records the checkpoints that a worker lists.
 func (o *checkpointOracle) listed(reply HoldReply) {
 	for i := range reply.Running {
 		o.told[reply.Running[i].Checkpoint] = true
@@ -59,7 +59,7 @@
 	}
 }
 
-// heard notes what an owner was told.
+// received records the checkpoints that an owner receives.
 func (o *oracle) heard(core *Core, reply HoldReply) {
 	for i := range reply.Running {
 		row := &reply.Running[i]
@@ -82,31 +82,31 @@
 	o.checkpoints.newest[key] = told
 }
 
-// checkStart checks the checkpoint that an order brings.
+// checkStart checks the checkpoint that a start order carries.
 func (o *oracle) checkStart(core *Core, order *Order) {
 	s, text := o.sim, order.Checkpoint
-	what := fmt.Sprintf("the start of task %s run %d brings %q", order.Task, order.Run, text)
+	what := fmt.Sprintf("the start of task %s run %d carries checkpoint %q", order.Task, order.Run, text)
 	switch {
 	case text == "":
 	case !s.stepOf(order.Task).Checkpoints:
 		o.fail("%s, and its step keeps no checkpoints", what)
 	case text != s.checkpointText(order.Task, workTold(text)):
-		o.fail("%s, which is not the task's", what)
+		o.fail("%s, which is not one of the task", what)
 	case !o.checkpoints.told[text]:
-		o.fail("%s, which no worker has told", what)
+		o.fail("%s, which no worker has reported", what)
 	}
 	if s.stepOf(order.Task).Gang {
 		id := gangID{order.Task.Job, order.Task.Occurrence, order.Task.Step, order.Run}
 		if first, ok := o.checkpoints.gangs[id]; ok && first != text {
-			o.fail("%s, and another member %q", what, first)
+			o.fail("%s, and that of another member %q", what, first)
 		}
 		o.checkpoints.gangs[id] = text
 	}
 	o.measureStart(core, order)
 }
 
-// measureStart counts a start that brings less than its owner was told. It is no fault: work
-// is done twice.
+// measureStart counts a start with less work than was reported to its owner. That is allowed: work is
+// only repeated.
 func (o *oracle) measureStart(core *Core, order *Order) {
 	c := &o.checkpoints
 	if order.Checkpoint != "" {
@@ -119,13 +119,13 @@
 	}
 	class := o.lessClass(core, order, newest)
 	if c.less[class] == 0 {
-		c.examples[class] = fmt.Sprintf("%v: start of %s run %d brings %q; told %q of run %d at %v", o.sim.now, order.Task, order.Run, order.Checkpoint, newest.text, newest.run, newest.at)
+		c.examples[class] = fmt.Sprintf("%v: start of %s run %d carries %q; reported %q of run %d at %v", o.sim.now, order.Task, order.Run, order.Checkpoint, newest.text, newest.run, newest.at)
 	}
 	c.less[class]++
 	c.wasted += missed
 }
 
-// lessClass tells what the newest checkpoint and the one that was brought come from.
+// staleClass describes the origins of the newest checkpoint and of the one that was used.
 func (o *oracle) lessClass(core *Core, order *Order, newest toldCheckpoint) string {
 	origin := "a list"
 	if newest.ended {
@@ -135,7 +135,7 @@
 	if newest.current {
 		expected = "the run expected"
 	}
-	class := fmt.Sprintf("told in %s of %s", origin, expected)
+	class := fmt.Sprintf("reported in %s of %s", origin, expected)
 	t := core.findTask(order.Task)
 	if t == nil {
 		return class + ", task unknown"
@@ -143,14 +143,14 @@
 	from := t.continuesFrom()
 	switch {
 	case order.Checkpoint == "":
-		return class + ", nothing brought"
+		return class + ", none used"
 	case from.text != order.Checkpoint:
 		return class + ", the order is sent again"
 	case newest.run > from.run:
-		return class + ", brought of an older run"
+		return class + ", used one of an older run"
 	case newest.run < from.run:
-		return class + ", brought of a newer run"
+		return class + ", used one of a newer run"
 	default:
-		return class + ", brought of the same run"
+		return class + ", used one of the same run"
 	}
 }
--- a/dispatch/sim_checkpoint_test.go
+++ b/dispatch/sim_checkpoint_test.go
@@ -9,58 +9,58 @@
 	"leverstile.dev/job"
 )
 
-// checkpointFaults is what the simulation plays of checkpoints, where it is switched on,
-// and the safeguards on them that can be off.
+// checkpointFaults holds what the simulation does with checkpoints, where it is switched on, and the
+// safeguards on them that can be switched off.
 type checkpointFaults struct {
-	// checkpointJobs: some jobs keep checkpoints, among them gangs, repeated and lasting
-	// jobs, and fills that are slowed and preempted.
+	// checkpointJobs: some jobs keep checkpoints, among them gangs, repeated and
+	// long-running jobs, and fill tasks that are slowed and preempted.
 	checkpointJobs bool
-	// checkpointRNG draws what only these jobs need.
+	// checkpointRNG draws the random values that only these jobs need.
 	checkpointRNG *rand.Rand
 	checkpointIDs int
-	// paced counts the orders of a pace that were carried out, preempted the moves of fills.
+	// paced counts the pace orders that were carried out, preempted the stops of fill tasks.
 	paced, preempted int
-	// lie adds to a worker's lists what is not so, if set; lies counts that.
+	// falsify, if set, adds false entries to a worker's lists; falsified counts them.
 	lie  func(w *simWorker, reply *HoldReply)
 	lies int
 
-	// Safeguards that are off: alterStart changes an order, alterReply an answer.
+	// Safeguards that are switched off: alterStart changes an order, alterReply a poll reply.
 	alterStart func(core *Core, o *Order)
 	alterReply func(core *Core, reply *HoldReply)
 }
 
 const (
 	// simCheckpointInterval is the work between two checkpoints of a run. Members of a
-	// gang differ by simMemberLag, so that their checkpoints do.
+	// gang differ by simMemberLag, so that their checkpoints differ.
 	simCheckpointInterval = 400 * time.Millisecond
 	simMemberLag          = 35 * time.Millisecond
-	// simTarget is the target of tasks that serve, in milliseconds. They read simTailAlone,
-	// and simTailFill more for each fill beside at full pace.
+	// simTarget is the target of serving tasks, in milliseconds. Their reading is
+	// simTailAlone, plus simTailFill for each fill task beside them at full pace.
 	simTarget    = 100
 	simTailAlone = 50
 	simTailFill  = 60
-	// firstCheckpointJob is the first id of jobs with checkpoints, apart from others.
+	// firstCheckpointJob is the first id of jobs with checkpoints, separate from others.
 	firstCheckpointJob = 200_000
-	// simOverTarget is how long fills may keep a serving task over its target, simPaceAfter
-	// the age from which a run can be paced.
+	// simOverTarget is how long fill tasks may keep a serving task over its target,
+	// simPaceAfter the age from which a run can be paced.
 	simOverTarget = 4 * time.Second
 	simPaceAfter  = 300 * time.Millisecond
-	// fillQueue is the queue that any other may preempt.
+	// fillQueue is the queue whose tasks any other queue may preempt.
 	fillQueue = "fills"
 )
 
-// simWork is what a run has done, counted from the task's first run.
+// simWork is the work that a run has done, counted from the task's first run.
 type simWork struct {
-	begun   time.Duration // work that its start's checkpoint told
+	begun   time.Duration // work recorded in the checkpoint it started from
 	done    time.Duration // until since
 	since   time.Duration
-	working bool // a gang's member waits for the others first
+	working bool // false while a gang's member waits for the others
 	pace    int
 	left    time.Duration // at full pace, when the pace was last set
-	brought string        // its start's checkpoint
+	brought string        // the checkpoint it started from
 }
 
-// at returns the work done by a moment.
+// at returns the work done at a time.
 func (x *simWork) at(now time.Duration) time.Duration {
 	if !x.working {
 		return x.done
@@ -68,7 +68,7 @@
 	return x.done + (now-x.since)*time.Duration(x.pace)/fullPace
 }
 
-// setPace changes the pace of a run, which ends later or sooner by that.
+// setPace changes the pace of a run and moves its end accordingly.
 func (r *simRun) setPace(percent int, now time.Duration) {
 	const halted = time.Hour
 	left := (r.ends - now) * time.Duration(r.work.pace) / fullPace
@@ -83,8 +83,8 @@
 	}
 }
 
-// checkpointOwner returns the task that stands for all that a checkpoint is good for: that
-// of any member is good for its gang.
+// checkpointOwner returns the task that stands for all tasks which can use a checkpoint: any member's
+// checkpoint is valid for its whole gang.
 func (s *sim) checkpointOwner(id job.TaskID) job.TaskID {
 	if s.stepOf(id).Gang {
 		id.Index = 0
@@ -94,12 +94,12 @@
 
 func (s *sim) stepOf(id job.TaskID) *job.Step { return &s.specs[id.Job].Steps[id.Step] }
 
-// checkpointText tells the work done, and of which task or gang.
+// checkpointText returns a checkpoint that names the work done and the task or gang.
 func (s *sim) checkpointText(id job.TaskID, done time.Duration) string {
 	return fmt.Sprintf("%08x", done.Milliseconds()) + s.checkpointOwner(id).String()
 }
 
-// workTold returns the work that a checkpoint tells.
+// checkpointWork returns the work recorded in a checkpoint.
 func workTold(text string) time.Duration {
 	const digits = 8
 	if len(text) < digits {
@@ -112,14 +112,14 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// begin has a run continue from a checkpoint. How much work is left is drawn anew for each
-// run, so that runs last as long without checkpoints as with them.
+// begin has a run continue from a checkpoint. The remaining work is drawn independently of it, so that
+// runs last as long without checkpoints as with them.
 func (r *simRun) begin(s *sim, checkpoint string) {
 	done := workTold(checkpoint)
 	r.work = simWork{begun: done, done: done, since: s.now, working: !s.stepOf(r.task).Gang, pace: fullPace, brought: checkpoint}
 }
 
-// saved returns the checkpoint that a run has saved.
+// saved returns the latest checkpoint that a run has saved.
 func (r *simRun) saved(s *sim, stopped bool) string {
 	if !s.stepOf(r.task).Checkpoints {
 		return ""
@@ -133,12 +133,13 @@
 		return s.checkpointText(r.task, r.work.begun+saved)
 	}
 	if r.run%2 == 0 {
-		return "" // it has saved none itself
+		return "" // the run has saved none itself
 	}
 	return r.work.brought
 }
 
-// reading returns the fifth entry of a run's row.
+// reading returns the reading in a run's row of the list: the processor time of a fill task, the tail
+// latency of a serving task.
 func (w *simWorker) reading(r *simRun) (value int64, has bool) {
 	step := w.sim.stepOf(r.task)
 	switch {
@@ -156,7 +157,7 @@
 	return value, true
 }
 
-// submitCheckpointJobs submits a job that plays checkpoints, now and then.
+// submitCheckpointJobs submits a job with checkpoints now and then.
 func (s *sim) submitCheckpointJobs() {
 	if !s.checkpointJobs || s.checkpointRNG.IntN(30) > 0 {
 		return
@@ -195,7 +196,7 @@
 	return spec
 }
 
-// config is what owners are told; the queue of fills is there for jobs with checkpoints.
+// config returns the owners' configuration; it has the queue of fill tasks if jobs keep checkpoints.
 func (s *sim) config() *job.Config {
 	queues := s.simQueues()
 	if s.checkpointJobs {
--- a/dispatch/sim_crash_test.go
+++ b/dispatch/sim_crash_test.go
@@ -6,22 +6,22 @@
 	"leverstile.dev/job"
 )
 
-// crashPayload marks a job whose first task crashes the workers that start it.
+// crashPayload marks a job whose first task crashes each worker that starts it.
 const crashPayload = "crash"
 
 // simCrashDelay is how long such a task runs.
 const simCrashDelay = 10 * time.Millisecond
 
-// touchFor is how long an owner must have been without trouble to be held to the bound on
-// starts; users speak of machines in touch for 3 s.
+// connectedFor is how long an owner must have been without faults to be held to the bound on starts;
+// users require it for VMs that have been connected for 3 s.
 const touchFor = 3 * time.Second
 
-// crasher reports whether a task crashes the workers that start it.
+// crasher reports whether a task crashes each worker that starts it.
 func (s *sim) crasher(id job.TaskID) bool {
 	return id.Index == 0 && id.Step == 0 && s.specs[id.Job].Payload == crashPayload
 }
 
-// submitCrasher submits a job with such a task, some of them gangs or lasting.
+// submitCrasher submits a job with such a task; some are gangs or long-running.
 func (s *sim) submitCrasher(id int) {
 	spec := simpleJob(id, 1+s.rng.IntN(4))
 	spec.Payload = crashPayload
@@ -34,7 +34,7 @@
 	s.submit(spec)
 }
 
-// crashUnder crashes a worker under a run that does that.
+// crashUnder crashes a worker if the run is of such a task.
 func (s *sim) crashUnder(w *simWorker, r *simRun) {
 	if !s.crasher(r.task) {
 		return
@@ -58,9 +58,9 @@
 	})
 }
 
-// knownCrashes returns under how many runs of a task a worker has crashed whose owner had
-// heard of the start. Of a worker that is cut off, or whose answers get lost from the start
-// on, it is not known that it crashed under the task (seeds 7 and 75).
+// knownCrashes returns how many runs of a task crashed their worker after the start was answered to
+// an owner. If the worker is cut off, or its answers get lost from the start on, the owner can't know
+// that it crashed while it ran the task (seeds 7 and 75).
 func (s *sim) knownCrashes(id job.TaskID) int {
 	n := 0
 	for _, run := range s.crashesUnder[id] {
@@ -71,10 +71,10 @@
 	return n
 }
 
-// checkCrasher fails a start too many of a task that has crashed its workers: users allow two
-// after the third crash, by owners that are in touch. An owner that is lost before it has
-// written of a crash may cost one more: in seed 39 there are four takeovers in 9 s, each
-// before the newest crash was written.
+// checkCrasher fails if a task that has crashed its workers is started too often: users allow two
+// starts after the third crash, by owners that are connected. An owner that is lost before it has
+// stored a crash may cost one more start: in seed 39 there are four takeovers in 9 s, each before the
+// latest crash was stored.
 func (o *oracle) checkCrasher(r *simRun) {
 	s := o.sim
 	if !s.crasher(r.task) || s.knownCrashes(r.task) < crashLimit || s.now-s.owner.troubledAt < touchFor || s.owner.core.Term() != r.run>>runBits {
@@ -83,16 +83,16 @@
 	s.startsAfter[r.task]++
 	allowed := mostStartsOfACrasher - crashLimit + s.takeovers - s.takeoversBefore[r.task]
 	if n := s.startsAfter[r.task]; n > allowed {
-		o.fail("task %s run %d: started %d times more after %d workers had crashed under it", r.task, r.run, n, crashLimit)
+		o.fail("task %s run %d: started %d more times after %d workers had crashed while running it", r.task, r.run, n, crashLimit)
 	}
 }
 
-// crashingTasks plays tasks that crash their workers beside the other faults.
+// crashingTasks adds tasks that crash their workers to the other faults.
 func crashingTasks(s *sim) {
 	s.crashesUnder, s.startsAfter, s.startsTold = map[job.TaskID][]uint64{}, map[job.TaskID]int{}, map[uint64]bool{}
 	s.onCrashed, s.takeoversBefore = map[job.TaskID]int{}, map[job.TaskID]int{}
 	s.deadRefuse = true
-	s.settleMore = time.Minute // few workers, which crash on until all such tasks are given up
+	s.settleMore = time.Minute // few workers, which keep crashing until all such tasks are given up
 	const firstID = 100_000    // apart from the other jobs
 	id := firstID
 	s.extra = func(s *sim) {
@@ -104,7 +104,7 @@
 	}
 }
 
-// noteCrashed notes what ran at a worker that crashes.
+// recordCrash records the tasks that ran at a worker that crashes.
 func (s *sim) noteCrashed(w *simWorker) {
 	for id := range w.running {
 		if s.onCrashed != nil {
@@ -114,7 +114,7 @@
 	s.noteEndedUnread(w)
 }
 
-// mostCrashed returns how many workers have crashed with one task of a job, at the most.
+// maxCrashesOfTask returns the largest number of workers that crashed with one task of a job.
 func (s *sim) mostCrashed(id string) int {
 	most := 0
 	for task, n := range s.onCrashed {
@@ -125,8 +125,8 @@
 	return most
 }
 
-// mayBeGivenUp reports whether a job may fail though none of its tasks crashes a worker. Users
-// allow that of a task with which two workers have crashed; here it takes three. In seed 34 a
-// task began 0.5 s before three crashes, was there in a fourth, and may have been in one more
-// when its owner died; at the sixth start it would have been fed too many.
+// mayBeGivenUp reports whether a job may fail although none of its tasks crashes a worker. Users allow
+// that for a task with which two workers have crashed; here it takes three. In seed 34 a task started
+// 0.5 s before three crashes, was running in a fourth, and may have been running in one more when its
+// owner died; a sixth start would have exceeded the bound.
 func (s *sim) mayBeGivenUp(id string) bool { return s.mostCrashed(id) >= crashLimit }
--- a/dispatch/sim_gang_test.go
+++ b/dispatch/sim_gang_test.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// gangID names one run of a gang.
+// gangID identifies one run of a gang.
 type gangID struct {
 	job        string
 	occurrence int
@@ -12,12 +12,12 @@
 	run        uint64
 }
 
-// simGang is a gang's run at all workers: its members work from the moment when all are
-// there, and end together.
+// simGang is a gang's run at all workers: its members work from the time when all are started, and
+// end together.
 type simGang struct {
 	members []gangMember
-	whole   bool // all have come
-	over    bool // one has ended
+	whole   bool // all members are started
+	over    bool // a member has ended
 }
 
 type gangMember struct {
@@ -28,11 +28,11 @@
 const (
 	// simGangTimeout is how long a member waits for the others.
 	simGangTimeout = 3 * time.Second
-	// simGangNews is the longest that members take to hear that one has ended.
+	// simGangEndDelay is the longest that members take to end after one has ended.
 	simGangNews = 300 * time.Millisecond
 )
 
-// joinGang has a run wait for the others of its gang, if it is of one.
+// joinGang has a run wait for the other members if it belongs to a gang.
 func (s *sim) joinGang(w *simWorker, r *simRun, work time.Duration) {
 	step := &s.specs[r.task.Job].Steps[r.task.Step]
 	if !step.Gang {
@@ -56,13 +56,13 @@
 	for _, m := range g.members {
 		m.run.ends = s.now + work
 		m.run.work.working, m.run.work.since = true, s.now
-		if m.run.fails { // before any is done: a gang ends done together
+		if m.run.fails { // before any member is done: a gang ends done together
 			m.run.ends = s.now + work/2
 		}
 	}
 }
 
-// left breaks a gang of which a member has ended otherwise than done.
+// left ends the other members if one has ended otherwise than done.
 func (g *simGang) left(s *sim, kind EndKind) {
 	if g == nil || kind == EndDone {
 		return
@@ -78,7 +78,7 @@
 	}
 }
 
-// submitGang submits a job of a gang and a step after it.
+// submitGang submits a job with a gang and a step after it.
 func (s *sim) submitGang(id int) {
 	spec := simpleJob(id, 2+s.rng.IntN(4), 1)
 	spec.Steps[0].Gang = true
--- a/dispatch/sim_shapes_test.go
+++ b/dispatch/sim_shapes_test.go
@@ -8,28 +8,28 @@
 	"leverstile.dev/job"
 )
 
-// shapes has jobs ask for all that a step can ask of its place and time, of two services.
+// shapes has jobs of two services use every setting of a step for its place and time.
 type shapes struct {
 	// shapedJobs: such jobs are submitted, and workers differ.
 	shapedJobs bool
-	// forgetAsked changes what owners are told of these jobs, if set.
+	// alterSpec, if set, changes the jobs that owners receive.
 	forgetAsked func(spec *job.Spec)
-	// asked holds the jobs as their customers submitted them, where that differs.
+	// submitted holds the jobs as their customers submitted them, where that differs.
 	asked map[string]*job.Spec
-	// shaped counts the starts of their tasks.
+	// shaped counts the starts of tasks of such jobs.
 	shaped int
 }
 
 const (
-	// simOtherService has each simOtherEach-th worker, and a queue of its own name.
+	// simOtherService has every simOtherEach-th worker, and a queue of its own name.
 	simOtherService = "other"
 	simOtherEach    = 4
-	// simLabel is that of each second worker, simAccelerators what these have.
+	// simLabel is the label of every second worker, simAccelerators its accelerators.
 	simLabel        = "fast"
 	simAccelerators = 3
 )
 
-// shapesOfJobs switches shaped jobs on, and has workers that differ from the start on.
+// shapesOfJobs switches shaped jobs on and replaces the workers by ones that differ.
 func shapesOfJobs(s *sim) {
 	s.shapedJobs, s.delayShare = true, 0.02
 	for i := range s.workers {
@@ -37,7 +37,7 @@
 	}
 }
 
-// shapeWorker gives a worker what its place has.
+// shapeWorker sets a worker's service, labels and accelerators by its place.
 func (s *sim) shapeWorker(info *WorkerInfo, place int) {
 	if !s.shapedJobs {
 		return
@@ -50,7 +50,7 @@
 	}
 }
 
-// simQueues are the queues of the configuration.
+// simQueues returns the queues of the configuration.
 func (s *sim) simQueues() []job.Queue {
 	queues := []job.Queue{{Name: "q", Service: "svc", MaxAttempts: s.maxAttempts, Stretch: s.stretch}}
 	if s.shapedJobs {
@@ -59,7 +59,7 @@
 	return queues
 }
 
-// submitShaped submits a job of one shape.
+// submitShaped submits a job with one of these settings.
 func (s *sim) submitShaped(id int) {
 	spec := simpleJob(id, 1+s.rng.IntN(4), 1+s.rng.IntN(3))
 	spec.Payload = fmt.Sprintf("payload %d", id)
@@ -95,7 +95,7 @@
 	s.submit(spec)
 }
 
-// askedSpec returns a job as its customer submitted it.
+// submittedSpec returns a job as its customer submitted it.
 func (s *sim) askedSpec(id string) *job.Spec {
 	if spec := s.asked[id]; spec != nil {
 		return spec
@@ -103,8 +103,8 @@
 	return s.specs[id]
 }
 
-// checkAsked fails unless a start is of a task that was submitted, with its payload, where and
-// when it may run. The run is among those of its worker.
+// checkSubmitted fails unless a started task was submitted, has its payload, and may run at this
+// place and time. The run is already among those of its worker.
 func (o *oracle) checkAsked(w *simWorker, order Order) {
 	spec := o.sim.askedSpec(order.Task.Job)
 	t := order.Task
@@ -148,25 +148,25 @@
 	}
 }
 
-// checkRoom fails if what runs at a worker, a new run included, is more than its room.
+// checkCapacity fails if the runs at a worker, including a new one, exceed its capacity.
 func (o *oracle) checkRoom(w *simWorker, t job.TaskID) {
 	var taken resources
 	for id := range w.running {
 		taken = taken.add(amountOf(&o.sim.askedSpec(id.Job).Steps[id.Step]), 1)
 	}
 	if taken.cpu > w.info.CPUMilli || taken.memory > w.info.MemoryMiB || taken.accelerators > w.info.Accelerators {
-		o.fail("task %s starts at %s, where %+v are taken then", t, w.info.ID, taken)
+		o.fail("task %s starts at %s, where %+v are then in use", t, w.info.ID, taken)
 	}
 }
 
-// forgetLabels has owners not know of required labels.
+// dropLabels removes required labels from the jobs that owners receive.
 func forgetLabels(spec *job.Spec) {
 	for i := range spec.Steps {
 		spec.Steps[i].Requires = ""
 	}
 }
 
-// forgetStep returns a forgetAsked that changes each step.
+// alterSteps returns an alterSpec that changes each step.
 func forgetStep(change func(step *job.Step)) func(spec *job.Spec) {
 	return func(spec *job.Spec) {
 		for i := range spec.Steps {
@@ -175,10 +175,10 @@
 	}
 }
 
-// TestForgottenShapesAreFound: the oracle finds an owner that does not know what a job asks for.
+// TestForgottenShapesAreFound checks that the oracle detects an owner that ignores a job's settings.
 func TestForgottenShapesAreFound(t *testing.T) {
 	if testing.Short() {
-		t.Skip("it is played without -short")
+		t.Skip("runs without -short")
 	}
 	for name, forget := range map[string]func(spec *job.Spec){
 		"label":        forgetLabels,
@@ -204,7 +204,7 @@
 					return
 				}
 			}
-			t.Errorf("not found in %d seeds", mutationSeeds)
+			t.Errorf("not detected in %d seeds", mutationSeeds)
 		})
 	}
 }
