--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -33,9 +33,9 @@
 	return core
 }
 
-// BenchmarkStart measures a fill task from submission to its recorded end, at 66, 490 and 2000
-// workers: 1.5, 3.2 and 11 microseconds. Scanning all workers for each task and rating their fill
-// acceptance in each pass takes 3.9, 20 and 92.
+// BenchmarkStart measures a fill task from submission to its recorded end: 1.5, 3.2 and 11 microseconds
+// as the number of workers grows. It takes 3.9, 20 and 92 if each task scans all workers and each pass
+// rates their fill acceptance.
 func BenchmarkStart(b *testing.B) {
 	for _, workers := range []int{66, 490, 2000, 5000, 50_000} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
--- a/dispatch/faults_test.go
+++ b/dispatch/faults_test.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// moreSeeds is how many seeds each further kind of fault is played with; the first is
-// that of the other runs.
+// moreSeeds is the number of seeds for each further kind of fault; the first one is that of the
+// other runs.
 var moreSeeds = flag.Uint64("dispatch.more", 1, "number of seeds of each further kind of fault")
 
-// faultCase is one kind of fault beside those of faultsRun, and a safeguard without
-// which the oracle finds it.
+// faultCase is one kind of fault in addition to those of faultsRun, and a safeguard whose removal
+// the oracle detects under it.
 type faultCase struct {
 	name  string
 	setup func(s *sim)
-	// played counts what was played of it.
+	// played counts how often it was injected.
 	played func(s *sim) int
-	// without is the safeguard that unguard takes away.
+	// without names the safeguard that unguard switches off.
 	without string
 	unguard func(s *sim)
-	// inShort: it is played with -short too.
+	// inShort: it also runs with -short.
 	inShort bool
 }
 
@@ -61,8 +61,8 @@
 	}
 }
 
-// startsAfterGaps plays owners that are replaced while they still give orders, at workers
-// that carry out a start a moment after they have checked its term.
+// startsAfterGaps simulates owners that are replaced while they still send orders, at workers that
+// carry out a start some time after they have checked its term.
 func startsAfterGaps(s *sim) {
 	s.startGapShare = 0.5
 	s.extra = func(s *sim) {
@@ -202,9 +202,9 @@
 	}
 }
 
-// TestMoreFaults plays one more kind of fault at a time, beside all of faultsRun. With -short,
-// as under the race detector, which a simulation in one goroutine does not need, it plays only
-// most of them at once.
+// TestMoreFaults injects one more kind of fault at a time, in addition to all of faultsRun. With
+// -short, as under the race detector, which a simulation in one goroutine does not need, it runs
+// only the case that combines most of them.
 func TestMoreFaults(t *testing.T) {
 	for _, c := range moreFaultCases() {
 		if testing.Short() && !c.inShort {
@@ -222,16 +222,16 @@
 				}
 			}
 			if played == 0 {
-				t.Error("the fault was not played")
+				t.Error("the fault was not injected")
 			}
 		})
 	}
 }
 
-// TestMoreFaultsAreFound: without its safeguard, each kind of fault breaks something.
+// TestMoreFaultsAreFound checks that each kind of fault breaks a guarantee without its safeguard.
 func TestMoreFaultsAreFound(t *testing.T) {
 	if testing.Short() {
-		t.Skip("it is played without -short")
+		t.Skip("runs without -short")
 	}
 	for _, c := range moreFaultCases() {
 		t.Run(c.name+", without: "+c.without, func(t *testing.T) {
@@ -242,21 +242,21 @@
 					return
 				}
 			}
-			t.Errorf("not found in %d seeds", mutationSeeds)
+			t.Errorf("not detected in %d seeds", mutationSeeds)
 		})
 	}
 }
 
-// crashSeeds are those of the fault case of crashing tasks that broke something before a mend.
+// crashSeeds are the seeds of crashingTasks that once broke a guarantee.
 var crashSeeds = []uint64{
-	11, 13, 26, 39, 58, 75, // started too often after an owner was lost, or a worker was silent
-	19, 34, 82, // a job failed whose task only was there
+	11, 13, 26, 39, 58, 75, // a task was started too often after an owner was lost, or a worker was silent
+	19, 34, 82, // a job failed although its task only happened to run at the workers that crashed
 }
 
-// TestCrashSeeds plays the seeds that once failed.
+// TestCrashSeeds repeats the seeds that once broke a guarantee.
 func TestCrashSeeds(t *testing.T) {
 	if testing.Short() {
-		t.Skip("they are played without -short")
+		t.Skip("runs without -short")
 	}
 	for _, seed := range crashSeeds {
 		checkAll(t, faultsRun(seed, crashingTasks))
