--- a/dispatch/fuzz_test.go
+++ b/dispatch/fuzz_test.go
@@ -140,7 +140,7 @@
 	}
 	t.Logf("%d jobs, %d takeovers, %d runs adopted, %d closed entries", jobs, takeovers, adopted, closed)
 	if takeovers == 0 || adopted == 0 || closed == 0 {
-		t.Error("no takeover with running tasks was played")
+		t.Error("no takeover with running tasks was simulated")
 	}
 }
 
--- a/dispatch/growth_test.go
+++ b/dispatch/growth_test.go
@@ -89,8 +89,8 @@
 		f.now.Steady += 100 * time.Millisecond
 		before := f.core.work.reachLooks
 		f.core.Tick(f.now)
-		if looks := f.core.work.reachLooks - before; looks > uint64(workers) {
-			t.Errorf("%d workers: %d scans in a tick", workers, looks)
+		if scans := f.core.work.reachLooks - before; scans > uint64(workers) {
+			t.Errorf("%d workers: %d scans in a tick", workers, scans)
 		}
 	}
 }
@@ -109,8 +109,8 @@
 		f.core.takeEnds(w, []EndedTask{{Number: 1, Task: a.task.id(), Run: a.run, Kind: EndFailed}}, f.now)
 		before := f.core.work.endLooks
 		f.core.Persisted(records)
-		if looks := f.core.work.endLooks - before; looks > 1 {
-			t.Errorf("%d workers: %d scans for one with an end", workers, looks)
+		if scans := f.core.work.endLooks - before; scans > 1 {
+			t.Errorf("%d workers: %d scans for one with an end", workers, scans)
 		}
 	}
 }
@@ -153,8 +153,8 @@
 		for _, w := range f.core.order[:workers/2] {
 			f.core.spareSlow(w, f.now)
 		}
-		if looks := f.core.work.slowLooks - before; looks > uint64(workers) {
-			t.Errorf("%d workers: %d scans for the lists of half of them", workers, looks)
+		if scans := f.core.work.slowLooks - before; scans > uint64(workers) {
+			t.Errorf("%d workers: %d scans for the lists of half of them", workers, scans)
 		}
 	}
 }
--- a/dispatch/order_test.go
+++ b/dispatch/order_test.go
@@ -27,17 +27,17 @@
 	s := newSim(seed, workers)
 	s.stretch = crowdStretch
 	s.run(time.Second)
-	begin, came, owed := s.now, map[string]time.Duration{}, 0.0
+	begin, submittedAt, pending := s.now, map[string]time.Duration{}, 0.0
 	ended := map[string]time.Duration{}
-	note := func() {
-		for id := range came {
+	recordEnds := func() {
+		for id := range submittedAt {
 			if state, _ := s.owner.core.Status(id); state == job.Succeeded && ended[id] == 0 {
 				ended[id] = s.now
 			}
 		}
 	}
 	for n := 1; s.now < begin+length; {
-		for owed += offered * stepSize.Seconds(); owed > 0; n++ {
+		for pending += offered * stepSize.Seconds(); pending > 0; n++ {
 			size := sizes[s.rng.IntN(len(sizes))]
 			spec := simpleJob(n, size, size)
 			spec.AcceptedMS = s.now.Milliseconds()
@@ -45,22 +45,22 @@
 				spec.Steps[i].Fills, spec.Steps[i].Image = true, "i"
 				spec.Steps[i].EstimateMS = 1450
 			}
-			came[spec.ID] = s.now
+			submittedAt[spec.ID] = s.now
 			s.submit(spec)
-			owed -= float64(2 * size)
+			pending -= float64(2 * size)
 		}
 		s.step()
-		note()
+		recordEnds()
 	}
 	for range 3000 {
 		s.step()
-		note()
+		recordEnds()
 	}
 	for _, b := range s.oracle.broken {
 		t.Fatalf("seed %d: %s", seed, b)
 	}
 	took := map[int][]time.Duration{}
-	for id, at := range came {
+	for id, at := range submittedAt {
 		size := s.specs[id].Steps[0].Count
 		took[size] = append(took[size], ended[id]-at)
 	}
--- a/dispatch/sim_calm_test.go
+++ b/dispatch/sim_calm_test.go
@@ -61,18 +61,18 @@
 	t.Helper()
 	s := i.sim
 	running := map[string]bool{}
-	var taken, size int64
+	var used, total int64
 	for _, w := range s.workers {
-		size += w.info.CPUMilli
+		total += w.info.CPUMilli
 		for id := range w.running {
 			running[id.Job] = true
-			taken += amountOf(&s.specs[id.Job].Steps[id.Step]).cpu
+			used += amountOf(&s.specs[id.Job].Steps[id.Step]).cpu
 		}
 	}
 	for id, spec := range s.specs {
 		state, known := s.owner.core.Status(id)
 		due := time.Duration(spec.DueMS(0)) * time.Millisecond
-		if running[id] || !known || state.Final() || s.cancelled[id] > 0 || 2*taken > size {
+		if running[id] || !known || state.Final() || s.cancelled[id] > 0 || 2*used > total {
 			delete(i.since, id)
 			continue
 		}
@@ -80,7 +80,7 @@
 			i.since[id] = max(s.now, due)
 		}
 		if waited := s.now - i.since[id]; waited > simIdleLimit {
-			t.Fatalf("%v: job %s has had nothing running for %v, %d of %d millicores are in use", s.now, id, waited, taken, size)
+			t.Fatalf("%v: job %s has had nothing running for %v, %d of %d millicores are in use", s.now, id, waited, used, total)
 		}
 	}
 }
--- a/dispatch/sim_checkpoint_faults_test.go
+++ b/dispatch/sim_checkpoint_faults_test.go
@@ -109,10 +109,10 @@
 				return cmp.Or(last.checkpoint.text, t.checkpoint.text)
 			}),
 		"a gang's members bring their own": func(s *sim) {
-			told := map[job.TaskID]string{}
-			s.alterReply = func(_ *Core, reply *HoldReply) { noteEach(told, reply) }
+			reported := map[job.TaskID]string{}
+			s.alterReply = func(_ *Core, reply *HoldReply) { noteEach(reported, reply) }
 			s.alterStart = func(_ *Core, o *Order) {
-				if text := told[o.Task]; s.stepOf(o.Task).Gang && text != "" {
+				if text := reported[o.Task]; s.stepOf(o.Task).Gang && text != "" {
 					o.Checkpoint = text
 				}
 			}
@@ -125,11 +125,11 @@
 			}),
 		"a text told of a step that keeps none is used": func(s *sim) {
 			lieOfPlainSteps(s)
-			told := map[job.TaskID]string{}
-			s.alterReply = func(_ *Core, reply *HoldReply) { noteEach(told, reply) }
+			reported := map[job.TaskID]string{}
+			s.alterReply = func(_ *Core, reply *HoldReply) { noteEach(reported, reply) }
 			s.alterStart = func(_ *Core, o *Order) {
 				if o.Checkpoint == "" {
-					o.Checkpoint = told[o.Task]
+					o.Checkpoint = reported[o.Task]
 				}
 			}
 		},
@@ -159,12 +159,12 @@
 }
 
 // recordCheckpoints records the checkpoint that a reply reports for each task.
-func noteEach(told map[job.TaskID]string, reply *HoldReply) {
+func noteEach(reported map[job.TaskID]string, reply *HoldReply) {
 	for i := range reply.Running {
-		told[reply.Running[i].Task] = reply.Running[i].Checkpoint
+		reported[reply.Running[i].Task] = reply.Running[i].Checkpoint
 	}
 	for i := range reply.Ended {
-		told[reply.Ended[i].Task] = reply.Ended[i].Checkpoint
+		reported[reply.Ended[i].Task] = reply.Ended[i].Checkpoint
 	}
 }
 
@@ -224,20 +224,20 @@
 // TestCheckpointsThatDoNotCount guards against starts that use a false checkpoint: workers report
 // checkpoints for steps that keep none, or for runs that no owner ordered, together with all faults.
 func TestCheckpointsThatDoNotCount(t *testing.T) {
-	for name, lie := range map[string]func(s *sim){"of plain steps": lieOfPlainSteps, "of unknown runs": lieOfUnknownRuns} {
+	for name, falsify := range map[string]func(s *sim){"of plain steps": lieOfPlainSteps, "of unknown runs": lieOfUnknownRuns} {
 		t.Run(name, func(t *testing.T) {
-			lies := 0
+			falsified := 0
 			for n := range *checkpointSeeds {
 				seed := *simFirst + n
-				s := checkpointRun(seed, allAtOnce, lie)
-				lies += s.lies
+				s := checkpointRun(seed, allAtOnce, falsify)
+				falsified += s.lies
 				checkAll(t, s)
 				if t.Failed() {
 					t.Fatalf("seed %d", seed)
 				}
 			}
-			t.Logf("%d false entries", lies)
-			if lies == 0 {
+			t.Logf("%d false entries", falsified)
+			if falsified == 0 {
 				t.Error("no false checkpoint was reported")
 			}
 		})
--- a/dispatch/sim_checkpoint_oracle_test.go
+++ b/dispatch/sim_checkpoint_oracle_test.go
@@ -71,15 +71,15 @@
 	}
 }
 
-func (o *oracle) heardOne(core *Core, told toldCheckpoint) {
-	key := tellKey{core.Term(), o.sim.checkpointOwner(told.task)}
-	if told.text == "" || workTold(told.text) <= workTold(o.checkpoints.newest[key].text) {
+func (o *oracle) heardOne(core *Core, c toldCheckpoint) {
+	key := tellKey{core.Term(), o.sim.checkpointOwner(c.task)}
+	if c.text == "" || workTold(c.text) <= workTold(o.checkpoints.newest[key].text) {
 		return
 	}
-	t := core.findTask(told.task)
-	told.current = t != nil && t.attempt != nil && t.attempt.run == told.run
-	told.at = o.sim.now
-	o.checkpoints.newest[key] = told
+	t := core.findTask(c.task)
+	c.current = t != nil && t.attempt != nil && t.attempt.run == c.run
+	c.at = o.sim.now
+	o.checkpoints.newest[key] = c
 }
 
 // checkStart checks the checkpoint that a start order carries.
--- a/dispatch/sim_faults_test.go
+++ b/dispatch/sim_faults_test.go
@@ -173,20 +173,20 @@
 // wait is over, with its lists at that time.
 func (s *sim) awaitEnd(w *simWorker, h HoldOrder, answered func(reply HoldReply), lost func()) {
 	until := s.now + h.Wait
-	var look func()
-	look = func() {
+	var check func()
+	check = func() {
 		w.advance()
 		switch {
 		case !w.alive || w.unreached(h.Token):
 			s.later(callTimeout, lost)
 		case len(w.ended) == 0 && s.now < until:
-			s.later(s.within(20*time.Millisecond), look)
+			s.later(s.within(20*time.Millisecond), check)
 		default:
 			reply := w.lists()
 			s.later(s.answerTime(), func() { answered(reply) })
 		}
 	}
-	look()
+	check()
 }
 
 // notSent reports to the owner that an order was not sent in time.
@@ -258,13 +258,13 @@
 // one of the newest two by hints.
 func (s *sim) announce(spec *job.Spec) {
 	owners := append(slices.Clone(s.old), s.owner)
-	tell := func(o *simOwner) { o.core.AddJob(spec, nil, false, s.instant()) }
+	deliver := func(o *simOwner) { o.core.AddJob(spec, nil, false, s.instant()) }
 	for _, o := range owners {
-		s.later(s.lateness(), func() { s.watched(o, func() { tell(o) }) })
+		s.later(s.lateness(), func() { s.watched(o, func() { deliver(o) }) })
 	}
 	o := owners[max(0, len(owners)-1-s.rng.IntN(2))]
 	for range s.rng.IntN(3) {
-		s.later(s.lateness(), func() { s.answer(o, func() { tell(o) }) })
+		s.later(s.lateness(), func() { s.answer(o, func() { deliver(o) }) })
 	}
 }
 
--- a/dispatch/sim_shapes_test.go
+++ b/dispatch/sim_shapes_test.go
@@ -87,10 +87,10 @@
 			s.asked = map[string]*job.Spec{}
 		}
 		s.asked[spec.ID] = spec
-		told := *spec
-		told.Steps = append([]job.Step(nil), spec.Steps...)
-		s.forgetAsked(&told)
-		spec = &told
+		altered := *spec
+		altered.Steps = append([]job.Step(nil), spec.Steps...)
+		s.forgetAsked(&altered)
+		spec = &altered
 	}
 	s.submit(spec)
 }
