--- a/dispatch/sim_restart_test.go
+++ b/dispatch/sim_restart_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// restartsOfAll simulates such restarts together with long-running tasks, gangs, restarts of the
+// restartsWithAllFaults simulates such restarts together with long-running tasks, gangs, restarts of the
 // owner and entries that are written late.
 func restartsOfAll(s *sim) {
 	s.useSameIDs()
@@ -107,7 +107,7 @@
 	}
 }
 
-// restartsBehindCuts simulates workers that restart and are cut off soon after.
+// restartsBeforeCuts simulates workers that restart and are cut off soon after.
 func restartsBehindCuts(s *sim) {
 	s.useSameIDs()
 	s.extra = func(s *sim) {
