--- a/dispatch/attempts_test.go
+++ b/dispatch/attempts_test.go
@@ -69,7 +69,7 @@
 	spec := simpleJob(1, 3)
 	spec.Steps[0].Gang = true
 	core.AddJob(spec, nil, true, now)
-	core.SetWorkers([]WorkerInfo{lifeInfo("w0", "m0")}, now)
+	core.SetWorkers([]WorkerInfo{testWorkerInfo("w0", "m0")}, now)
 	storeOpen(core, "w0")
 	var rows []RunningTask
 	for i := range 2 {
@@ -111,7 +111,7 @@
 	last := job.TaskID{Job: spec.ID, Index: 2}
 	core.Recover([]RosterEntry{{ID: "w0", Address: "w0", VM: "m0"}, {ID: "gone", Address: "gone", VM: "m1", Closed: true, Tasks: []string{last.String()}}}, now)
 	core.AddJob(spec, nil, true, now)
-	core.SetWorkers([]WorkerInfo{lifeInfo("w0", "m0")}, now)
+	core.SetWorkers([]WorkerInfo{testWorkerInfo("w0", "m0")}, now)
 	storeOpen(core, "w0")
 	core.HoldDone(core.PlanHold("w0", now).Order, HoldReply{ClockMS: 1000}, OutcomeOK, now)
 	core.Tick(now)
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -187,7 +187,7 @@
 		core := sureCore(Params{}, 1, now)
 		var list []WorkerInfo
 		for i := range workers {
-			list = append(list, lifeInfo(fmt.Sprintf("w%03d", i), fmt.Sprintf("m%03d", i)))
+			list = append(list, testWorkerInfo(fmt.Sprintf("w%03d", i), fmt.Sprintf("m%03d", i)))
 		}
 		core.SetWorkers(list, now)
 		storeRoster(b, core)
--- a/dispatch/calm.go
+++ b/dispatch/calm.go
@@ -11,17 +11,17 @@
 const (
 	// simultaneousWindow is the time between detections of crashes that may have one cause
 	// outside the workers: a broken poll is detected at once, the next one up to 0.2 s later.
-	sameMoment = 300 * time.Millisecond
+	simultaneousWindow = 300 * time.Millisecond
 	// detectionDelay after a crash, all others at about the same time have been detected.
-	othersNoticed = time.Second
+	detectionDelay = time.Second
 	// crashRateWindow is the time before a crash in which crashes of other workers count
 	// towards the crash rate. If that is low, a recently started run was not there by chance.
-	calmTime = youngAtCrash
+	crashRateWindow = startCrashWindow
 	// lowCrashShare is the share of the VMs that may crash within crashRateWindow for the
 	// crash rate to be low.
-	calmShare = 0.05
+	lowCrashShare = 0.05
 	// lowCrashRateWait is how long the last start of a task waits for a low crash rate.
-	calmPatience = 10 * time.Second
+	lowCrashRateWait = 10 * time.Second
 )
 
 // crashRecord is a counted crash of a VM's worker.
@@ -45,8 +45,8 @@
 
 // scheduleComparison schedules the comparison of a crash with others for when these have
 // been detected.
-func (c *Core) compareLater(t *task, vm string, l lostLife, r LostRun) {
-	x := crashComparison{task: t, run: r.Run, trial: r.Trial, vm: vm, at: l.loss.since, due: l.loss.since + othersNoticed}
+func (c *Core) scheduleComparison(t *task, vm string, l lostIncarnation, r LostRun) {
+	x := crashComparison{task: t, run: r.Run, trial: r.Trial, vm: vm, at: l.loss.since, due: l.loss.since + detectionDelay}
 	t.comparedAt = max(t.comparedAt, x.due)
 	c.comparisons = append(c.comparisons, x)
 }
@@ -62,22 +62,22 @@
 		due = append(due, x)
 		return true
 	})
-	near := crashesNear{}
+	near := nearbyCrashes{}
 	for _, x := range due {
 		if near.vm != x.vm || near.at != x.at { // comparisons of one worker are adjacent
-			near = c.crashesNear(x.vm, x.at)
+			near = c.nearbyCrashes(x.vm, x.at)
 		}
 		c.compareCrash(x, near, now)
 	}
 }
 
-func (c *Core) compareCrash(x crashComparison, near crashesNear, now Instant) {
+func (c *Core) compareCrash(x crashComparison, near nearbyCrashes, now Instant) {
 	t := x.task
 	j := t.step.job
 	if j.progress.State.Final() || t.phase == phaseDone {
 		return
 	}
-	isolated, lowRate := near.alone(t), c.calm(t, near)
+	isolated, lowRate := near.isolated(t), c.lowCrashRate(t, near)
 	d := taskDecision("crash_compared", t, nil, x.run, "")
 	d.Detail = fmt.Sprintf("its worker crashed alone %v, few others crashed before %v", isolated, lowRate)
 	c.trace(d)
@@ -90,15 +90,15 @@
 
 // nearbyCrashes holds the crashes shortly before or at a time on all VMs but one, without
 // those explained by a task that was given up.
-type crashesNear struct {
+type nearbyCrashes struct {
 	vm     string
 	at     time.Duration
 	others []crashRecord
 }
 
-func (c *Core) crashesNear(vm string, at time.Duration) crashesNear {
-	near := crashesNear{vm: vm, at: at}
-	within := func(t time.Duration) bool { return at-calmTime <= t && t <= at+sameMoment }
+func (c *Core) nearbyCrashes(vm string, at time.Duration) nearbyCrashes {
+	near := nearbyCrashes{vm: vm, at: at}
+	within := func(t time.Duration) bool { return at-crashRateWindow <= t && t <= at+simultaneousWindow }
 	for other, r := range c.crashed {
 		if other != vm && !r.explained && within(r.at) {
 			near.others = append(near.others, r)
@@ -117,7 +117,7 @@
 
 // count returns how many of the crashes came at the given time or later, without those where
 // a run of the task had recently started.
-func (n crashesNear) count(t *task, from time.Duration) int {
+func (n nearbyCrashes) count(t *task, from time.Duration) int {
 	count, name := 0, t.id().String()
 	for _, r := range n.others {
 		if r.at >= from && !slices.Contains(r.tasks, name) {
@@ -129,26 +129,26 @@
 
 // isolated reports whether no other VM's worker crashed within simultaneousWindow. Otherwise
 // something else may crash workers, and the crash proves less about the task.
-func (n crashesNear) alone(t *task) bool { return n.count(t, n.at-sameMoment) == 0 }
+func (n nearbyCrashes) isolated(t *task) bool { return n.count(t, n.at-simultaneousWindow) == 0 }
 
 // lowCrashRate reports whether at most lowCrashShare of the VMs crashed in the crashRateWindow
 // before a time without a recently started run of the task. If more did, such a run may be at one
 // by chance. If the window began before this owner's term, the rate is unknown and not low.
-func (c *Core) calm(t *task, near crashesNear) bool {
-	known := near.at-calmTime >= c.firstRenewed
-	return known && float64(near.count(t, near.at-calmTime)) <= calmShare*float64(len(c.lives))
+func (c *Core) lowCrashRate(t *task, near nearbyCrashes) bool {
+	known := near.at-crashRateWindow >= c.firstRenewed
+	return known && float64(near.count(t, near.at-crashRateWindow)) <= lowCrashShare*float64(len(c.lives))
 }
 
 // lowCrashRateNow is lowCrashRate for the present time.
-func (c *Core) calmNow(t *task, now Instant) bool {
+func (c *Core) lowCrashRateNow(t *task, now Instant) bool {
 	if c.nearNow.at != now.Steady {
-		c.nearNow = c.crashesNear("", now.Steady)
+		c.nearNow = c.nearbyCrashes("", now.Steady)
 	}
-	return c.calm(t, c.nearNow)
+	return c.lowCrashRate(t, c.nearNow)
 }
 
 // markExplained marks the crashes that a task which was given up explains.
-func (c *Core) explainCrashes(t *task) {
+func (c *Core) markExplained(t *task) {
 	name := t.id().String()
 	for vm, r := range c.crashed {
 		if slices.Contains(r.tasks, name) {
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -89,7 +89,7 @@
 	slow         map[string]*slowCount // by service
 	work         work
 	// incarnationsByName holds the incarnations of each worker's id.
-	names map[string]*namesakes
+	names map[string]*sameIDIncarnations
 	// ended holds incarnations that have ended and may still be listed.
 	over map[WorkerID]bool
 	// unresolved are workers of the previous owner that have not answered
@@ -99,9 +99,9 @@
 	openUnresolved int
 	// lostUnread holds the tasks of workers that were lost before this owner read their
 	// lists.
-	lostUnheard unheardTasks
+	lostUnheard unreadTasks
 	// lostInTerm holds the tasks of workers that were lost in this term.
-	lostInTerm unheardTasks
+	lostInTerm unreadTasks
 	// possibleCrashTasks counts the tasks with possible crashes.
 	doubtful int
 	// unsentStarts wait for the store. recordedStarts, by worker, are starts of previous
@@ -132,7 +132,7 @@
 	held      map[string]bool // jobs whose tasks are not touched; see HoldJob
 	// lostIncarnations holds incarnations that may have crashed, crashed the newest crash
 	// of VMs that crashed recently, both by VM. suspects counts the tasks with crashes.
-	lostLives map[string]lostLife
+	lostLives map[string]lostIncarnation
 	crashed   map[string]crashRecord
 	suspects  int
 	// fellSilent is, by VM, when its newest incarnation with tasks fell silent, if that
@@ -141,7 +141,7 @@
 	// comparisons are crashes that are not yet distinguished from others.
 	comparisons []crashComparison
 	// nearNow is a buffer that is reused within a pass.
-	nearNow crashesNear
+	nearNow nearbyCrashes
 	// nextTrial is when the next trial run of a suspect task may be started.
 	nextTrial time.Duration
 	// dirty holds the jobs whose progress is not stored, with their turn to be written.
@@ -227,8 +227,8 @@
 	return &Core{
 		params: params, term: term,
 		queues: map[string]job.Queue{}, services: map[string]bool{}, unguarded: map[string]bool{}, jobs: map[string]*jobState{}, cancelled: map[string]time.Duration{}, held: map[string]bool{},
-		lostLives: map[string]lostLife{}, crashed: map[string]crashRecord{}, fellSilent: map[string]time.Duration{},
-		workers: map[WorkerID]*worker{}, lives: map[string][]*worker{}, names: map[string]*namesakes{}, members: map[string][]*worker{}, racks: map[string][]*worker{}, unstoredEnds: map[*worker]bool{}, slow: map[string]*slowCount{}, over: map[WorkerID]bool{}, recordedStarts: map[WorkerID][]recordedStart{}, unresolved: map[WorkerID]unresolvedWorker{},
+		lostLives: map[string]lostIncarnation{}, crashed: map[string]crashRecord{}, fellSilent: map[string]time.Duration{},
+		workers: map[WorkerID]*worker{}, lives: map[string][]*worker{}, names: map[string]*sameIDIncarnations{}, members: map[string][]*worker{}, racks: map[string][]*worker{}, unstoredEnds: map[*worker]bool{}, slow: map[string]*slowCount{}, over: map[WorkerID]bool{}, recordedStarts: map[WorkerID][]recordedStart{}, unresolved: map[WorkerID]unresolvedWorker{},
 		roster: newRoster(), dirty: map[*jobState]uint64{}, waves: map[int64]*waveState{}, trace: trace,
 		model: newInterference(), demand: fillDemand{}, kept: map[string]*keptRoom{}, perfByKey: map[perfKey]*runTimes{},
 	}
@@ -292,7 +292,7 @@
 	c.expireUnresolved(now)
 	c.forgetOldCrashes(now)
 	c.compareCrashes(now)
-	c.forgetUnheard()
+	c.forgetUnread()
 	for _, w := range c.workersInOrder() {
 		c.tickWorker(w, now)
 	}
--- a/dispatch/crash.go
+++ b/dispatch/crash.go
@@ -10,13 +10,13 @@
 	// brokenConnWindow is the time from the first unanswered call within which a refused or
 	// broken connection means that the worker's process ended then. A worker that is cut off
 	// stays silent for longer.
-	brokenWithin = time.Second
+	brokenConnWindow = time.Second
 	// rackLossWindow is the time within which workers of one rack fall silent if the rack
 	// is lost.
-	rackLostWithin = time.Second
+	rackLossWindow = time.Second
 	// startCrashWindow is the time after its start in which a run may crash its worker by
 	// that start. A run that works longer at a worker that answers did not.
-	youngAtCrash = 5 * time.Second
+	startCrashWindow = 5 * time.Second
 )
 
 // contactLoss describes a worker's silence since its newest answer.
@@ -27,45 +27,45 @@
 	broken bool
 }
 
-func (w *worker) noteAnswered(now Instant) { w.heardAt, w.loss = now.Steady, contactLoss{} }
+func (w *worker) recordAnswer(now Instant) { w.heardAt, w.loss = now.Steady, contactLoss{} }
 
-func (w *worker) noteUnanswered(outcome Outcome, now Instant) {
+func (w *worker) recordNoAnswer(outcome Outcome, now Instant) {
 	if w.loss.since == 0 {
 		w.loss.since = now.Steady
 	}
-	if outcome == OutcomeBroken && now.Steady-w.loss.since <= brokenWithin {
+	if outcome == OutcomeBroken && now.Steady-w.loss.since <= brokenConnWindow {
 		w.loss.broken = true
 	}
 }
 
 // incarnationEnd is how an incarnation, one run of a worker's process, ended. Only a crash
 // may be caused by the tasks there.
-type lifeEnd uint8
+type incarnationEnd uint8
 
 const (
-	endCrashed lifeEnd = iota
+	endCrashed incarnationEnd = iota
 	endDrained
-	endUpkeep
+	endMaintenance
 	// endSilent: it was cut off before it ended, or lost power.
 	endSilent
 	endRackLost
 )
 
 // String returns the name, as logged.
-func (e lifeEnd) String() string {
+func (e incarnationEnd) String() string {
 	return [...]string{"crashed", "drained", "upkeep", "was silent before", "lost with its rack"}[e]
 }
 
 // classifyEnd returns how an incarnation ended that is known to have ended. One that ended
 // between two answers, or so soon after the first unanswered call that this call may have
 // been lost on the way, counts as crashed.
-func (c *Core) howEnded(w *worker, now Instant) lifeEnd {
+func (c *Core) classifyEnd(w *worker, now Instant) incarnationEnd {
 	switch {
 	case w.info.Draining || w.leavesAt > 0:
 		return endDrained
 	case w.takenDown || w.cordoned:
-		return endUpkeep
-	case w.loss.since > 0 && !w.loss.broken && now.Steady-w.loss.since > brokenWithin:
+		return endMaintenance
+	case w.loss.since > 0 && !w.loss.broken && now.Steady-w.loss.since > brokenConnWindow:
 		return endSilent
 	case c.rackLost(w):
 		return endRackLost
@@ -83,7 +83,7 @@
 	all, lost := map[string]bool{w.info.VM: true}, map[string]bool{w.info.VM: true}
 	for _, other := range c.racks[w.info.Rack] {
 		all[other.info.VM] = true
-		if c.silentWith(other, w.loss.since) {
+		if c.fellSilentWith(other, w.loss.since) {
 			lost[other.info.VM] = true
 		}
 	}
@@ -93,8 +93,8 @@
 // fellSilentWith reports whether the worker of a VM fell silent at about the given time, or
 // an earlier incarnation on that VM did. A worker without tasks is not polled; for it, a next
 // incarnation that became known after that time is the only evidence.
-func (c *Core) silentWith(w *worker, at time.Duration) bool {
-	near := func(t time.Duration) bool { return (t - at).Abs() <= rackLostWithin }
+func (c *Core) fellSilentWith(w *worker, at time.Duration) bool {
+	near := func(t time.Duration) bool { return (t - at).Abs() <= rackLossWindow }
 	before, known := c.fellSilent[w.info.VM]
 	switch {
 	case known && near(before), w.loss.since > 0 && near(w.loss.since):
@@ -109,11 +109,11 @@
 // recentRuns returns the runs that may have crashed the worker by their start: those started
 // less than startCrashWindow before its last answer, whose start was sent before it was
 // known to be silent.
-func (w *worker) youngRuns() []*attempt {
+func (w *worker) recentRuns() []*attempt {
 	var list []*attempt
 	for _, a := range w.attempts {
 		sentInTime := w.loss.since == 0 || a.ackClock > 0 || a.placedAt <= w.loss.since
-		if !a.unsent && sentInTime && w.heardAt-a.started < youngAtCrash {
+		if !a.unsent && sentInTime && w.heardAt-a.started < startCrashWindow {
 			list = append(list, a)
 		}
 	}
@@ -122,7 +122,7 @@
 
 // logIncarnationEnd logs how an incarnation with tasks ended, and which runs may have
 // crashed it.
-func (c *Core) tellEnded(w *worker, how lifeEnd, recent []*attempt, now Instant) {
+func (c *Core) logIncarnationEnd(w *worker, how incarnationEnd, recent []*attempt, now Instant) {
 	c.trace(Decision{
 		Event: "worker_ended", Worker: w.info.ID, Reason: how.String(), Age: now.Steady - w.heardAt,
 		Detail: fmt.Sprintf("%d runs, %d of them started recently", len(w.attempts), len(recent)),
--- a/dispatch/crash_test.go
+++ b/dispatch/crash_test.go
@@ -17,11 +17,11 @@
 	core *Core
 	now  Instant
 	// incarnation is the present one of each VM; down is until when none answers there.
-	life map[string]WorkerID
-	down map[string]time.Duration
+	incarnation map[string]WorkerID
+	down        map[string]time.Duration
 	// cut VMs run on without answering; draining ones report that they drain.
 	cut, draining map[string]bool
-	lives         int
+	incarnations  int
 	// starts holds the runs of each task that a worker has started, running those
 	// that are running, by incarnation.
 	starts  map[job.TaskID][]uint64
@@ -35,7 +35,7 @@
 	stored    map[string][]byte
 	storeDown bool
 	roster    rosterStore
-	unheard   []byte
+	unread    []byte
 	vms       []string
 	ended     map[WorkerID][]EndedTask
 	// crashDown is how long a VM has no worker after a crash.
@@ -64,7 +64,7 @@
 func newCrashFleetOf(t *testing.T, vms int, sameID bool) *crashFleet {
 	t.Helper()
 	f := &crashFleet{
-		sameID: sameID, t: t, now: Instant{Steady: time.Second}, life: map[string]WorkerID{}, down: map[string]time.Duration{},
+		sameID: sameID, t: t, now: Instant{Steady: time.Second}, incarnation: map[string]WorkerID{}, down: map[string]time.Duration{},
 		cut: map[string]bool{}, draining: map[string]bool{}, starts: map[job.TaskID][]uint64{}, running: map[WorkerID]map[job.TaskID]uint64{},
 		crashes: map[job.TaskID]int{}, crasher: func(job.TaskID) bool { return false }, stored: map[string][]byte{}, roster: rosterStore{},
 		ended: map[WorkerID][]EndedTask{}, crashDown: crashDown, rackSize: crashRack,
@@ -72,7 +72,7 @@
 	for i := range vms {
 		vm := fmt.Sprintf("m%02d", i)
 		f.vms = append(f.vms, vm)
-		f.born(vm)
+		f.startIncarnation(vm)
 	}
 	f.core = f.newCore(1)
 	f.pass(300 * time.Millisecond)
@@ -97,8 +97,8 @@
 	}
 	next := f.newCore(f.core.Term() + 1)
 	next.Recover(list, f.now)
-	if f.unheard != nil {
-		if err := next.TakeUnheard(f.unheard); err != nil {
+	if f.unread != nil {
+		if err := next.RecoverUnread(f.unread); err != nil {
 			f.t.Fatal(err)
 		}
 	}
@@ -118,13 +118,13 @@
 	}
 }
 
-func (f *crashFleet) born(vm string) {
-	f.lives++
-	id := WorkerID(fmt.Sprintf("%s-%d", vm, f.lives))
+func (f *crashFleet) startIncarnation(vm string) {
+	f.incarnations++
+	id := WorkerID(fmt.Sprintf("%s-%d", vm, f.incarnations))
 	if f.sameID {
-		id = LifeID(vm, int64(f.lives))
+		id = IncarnationID(vm, int64(f.incarnations))
 	}
-	f.life[vm] = id
+	f.incarnation[vm] = id
 	f.running[id] = map[job.TaskID]uint64{}
 }
 
@@ -133,7 +133,7 @@
 	if _, err := fmt.Sscanf(vm, "m%d", &place); err != nil {
 		f.t.Fatal(err)
 	}
-	info := lifeInfo(string(f.life[vm]), vm)
+	info := testWorkerInfo(string(f.incarnation[vm]), vm)
 	info.Address, info.Rack = vm, fmt.Sprintf("r%d", place/f.rackSize)
 	info.Draining, info.Leaving = f.draining[vm], 20*time.Second
 	return info
@@ -149,7 +149,7 @@
 
 // end ends the incarnation on a VM; the next one starts after the down time.
 func (f *crashFleet) end(vm string, down time.Duration) {
-	f.running[f.life[vm]] = map[job.TaskID]uint64{}
+	f.running[f.incarnation[vm]] = map[job.TaskID]uint64{}
 	f.down[vm] = f.now.Steady + down
 }
 
@@ -160,7 +160,7 @@
 		return OutcomeUnknown
 	case f.down[vm] > f.now.Steady:
 		return OutcomeBroken
-	case f.life[vm] != id && !f.sameID:
+	case f.incarnation[vm] != id && !f.sameID:
 		return OutcomeOtherLife
 	default:
 		return OutcomeOK
@@ -175,7 +175,7 @@
 		for _, vm := range f.vms {
 			if f.down[vm] > 0 && f.now.Steady >= f.down[vm] {
 				delete(f.down, vm)
-				f.born(vm)
+				f.startIncarnation(vm)
 			}
 		}
 		f.core.Renewed(f.now.Steady)
@@ -199,7 +199,7 @@
 		outcome := f.reach(plan.Order.Address, id)
 		reply := HoldReply{}
 		if outcome == OutcomeOK {
-			id = f.life[plan.Order.Address]
+			id = f.incarnation[plan.Order.Address]
 			reply.ClockMS, reply.Born = f.now.Steady.Milliseconds(), id.Born()
 			for task, run := range f.running[id] {
 				reply.Running = append(reply.Running, RunningTask{Task: task, Run: run, Percent: fullPace})
@@ -241,7 +241,7 @@
 }
 
 func (f *crashFleet) carryOut(o Order) {
-	runs := f.running[f.life[o.Address]]
+	runs := f.running[f.incarnation[o.Address]]
 	switch o.Kind {
 	case OrderStart:
 		runs[o.Task] = o.Run
@@ -273,13 +273,13 @@
 	if f.core.RosterStale() {
 		f.roster.put(storeRoster(f.t, f.core))
 	}
-	unread, err := f.core.Unheard()
+	unread, err := f.core.Unread()
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	if unread != nil {
-		f.unheard = unread
-		f.core.UnheardStored(unread)
+		f.unread = unread
+		f.core.UnreadStored(unread)
 	}
 }
 
@@ -289,7 +289,7 @@
 }
 
 // decisionsOf returns the decisions with an event.
-func (f *crashFleet) told(event string) []Decision {
+func (f *crashFleet) decisionsOf(event string) []Decision {
 	var list []Decision
 	for _, d := range f.decisions {
 		if d.Event == event {
@@ -329,11 +329,11 @@
 
 // TestIncarnationEndsAreLogged: the log distinguishes a crash from other ends of an incarnation,
 // and names the runs that had recently started there.
-func TestEndsOfLivesAreTold(t *testing.T) {
+func TestIncarnationEndsAreLogged(t *testing.T) {
 	const downFor = 2 * time.Second
 	for name, x := range map[string]struct {
 		end  func(f *crashFleet)
-		want lifeEnd
+		want incarnationEnd
 	}{
 		"crashed":         {func(f *crashFleet) { f.end("m00", downFor) }, endCrashed},
 		"restarted quick": {func(f *crashFleet) { f.end("m00", time.Millisecond) }, endCrashed},
@@ -357,11 +357,11 @@
 			recent.Steps[0].MaxPerWorker = 1
 			f.core.AddJob(recent, nil, false, f.now)
 			f.pass(time.Second)
-			id := f.life["m00"]
+			id := f.incarnation["m00"]
 			x.end(f)
 			f.pass(4 * time.Second)
 			var logged *Decision
-			for _, d := range f.told("worker_ended") {
+			for _, d := range f.decisionsOf("worker_ended") {
 				if d.Worker == id {
 					logged = &d
 				}
@@ -370,7 +370,7 @@
 				t.Fatalf("logged: %v, want %v", logged, x.want)
 			}
 			var runs []string
-			for _, d := range f.told("run_in_crash") {
+			for _, d := range f.decisionsOf("run_in_crash") {
 				if d.Worker == id {
 					runs = append(runs, d.Job)
 				}
@@ -394,7 +394,7 @@
 	f.pass(time.Second)
 	f.down["m00"] = f.now.Steady + time.Hour // refuses, and runs on
 	f.pass(4 * time.Second)
-	if n := len(f.told("run_lost")); n > 0 {
+	if n := len(f.decisionsOf("run_lost")); n > 0 {
 		t.Errorf("%d runs were given up while their leases lasted", n)
 	}
 	for id, runs := range f.starts {
--- a/dispatch/densewaves_test.go
+++ b/dispatch/densewaves_test.go
@@ -40,7 +40,7 @@
 	d.f.pass(2 * time.Second)
 	if crasher {
 		d.bad = simpleJob(100, 1)
-		d.f.crasher = crashesOf(d.bad)
+		d.f.crasher = firstTaskOf(d.bad)
 		d.f.core.AddJob(d.bad, nil, false, d.f.now)
 	}
 	return d
@@ -95,7 +95,7 @@
 		for _, spec := range d.harmless {
 			if d.f.state(spec) != job.Running {
 				failed++
-				t.Errorf("seed %d: job %s is %s: %v", seed, spec.ID, d.f.state(spec), d.f.told("job_failed"))
+				t.Errorf("seed %d: job %s is %s: %v", seed, spec.ID, d.f.state(spec), d.f.decisionsOf("job_failed"))
 				continue
 			}
 			kept++
@@ -119,7 +119,7 @@
 	if testing.Short() {
 		t.Skip("long test, skipped with -short")
 	}
-	const hits = mostCrashes - 1
+	const hits = maxCrashes - 1
 	for offset := -280 * time.Millisecond; offset <= 280*time.Millisecond; offset += 40 * time.Millisecond {
 		for _, downFor := range []time.Duration{20 * time.Millisecond, 60 * time.Millisecond, 400 * time.Millisecond} {
 			t.Run(fmt.Sprintf("another %v after, away for %v", offset, downFor), func(t *testing.T) {
@@ -140,7 +140,7 @@
 					vm, other := f.vmOf(id), ""
 					f.pass(time.Second)
 					for _, o := range f.vms {
-						if o != vm && f.down[o] == 0 && len(f.running[f.life[o]]) > 0 {
+						if o != vm && f.down[o] == 0 && len(f.running[f.incarnation[o]]) > 0 {
 							other = o
 						}
 					}
@@ -154,7 +154,7 @@
 				}
 				f.pass(30 * time.Second)
 				if s := f.state(spec); s != job.Running {
-					t.Errorf("the job is %s: %v", s, f.told("crash_compared"))
+					t.Errorf("the job is %s: %v", s, f.decisionsOf("crash_compared"))
 				}
 			})
 		}
--- a/dispatch/eligible.go
+++ b/dispatch/eligible.go
@@ -26,9 +26,9 @@
 	barrierSilent
 	// exclusionAvoided: the worker's tasks fail one after the other, or it refuses work.
 	barrierAvoided
-	// exclusionEndsUncertain: the worker may drop the ends of its runs before they are read; see doubtEnds.
+	// exclusionEndsUncertain: the worker may drop the ends of its runs before they are read; see excludeForAcknowledgement.
 	barrierEndsDoubted
-	// exclusionIncarnationUncertain: another owner may be there; see lifeDoubted.
+	// exclusionIncarnationUncertain: another owner may be there; see mayHaveRestarted.
 	barrierLifeDoubted
 	// exclusionStaleClock: the worker's clock was read too long ago to set a deadline; see leastAt.
 	barrierStale
@@ -66,7 +66,7 @@
 		return barrierAvoided
 	case w.endsDoubted:
 		return barrierEndsDoubted
-	case c.lifeDoubted(w, now):
+	case c.mayHaveRestarted(w, now):
 		return barrierLifeDoubted
 	case w.leastAt(c.validUntil) <= w.clockNow(now):
 		return barrierStale
--- a/dispatch/ends.go
+++ b/dispatch/ends.go
@@ -81,7 +81,7 @@
 	switch e.Kind {
 	case EndDone:
 		c.stats.Done++
-		c.cleared(t, e.Run, "a run of it is done")
+		c.clearSuspicion(t, e.Run, "a run of it is done")
 		w.failStreak, w.strikes = 0, max(0, w.strikes-1)
 		if a != nil {
 			c.learnRunTime(a, now)
@@ -91,7 +91,7 @@
 		}
 	case EndFailed:
 		c.stats.Failed++
-		c.cleared(t, e.Run, "its worker has outlived a run of it")
+		c.clearSuspicion(t, e.Run, "its worker has outlived a run of it")
 		c.blameWorker(w, t, now)
 		c.countFailure(t, e.Run, now)
 		t.avoid = w.info.ID
--- a/dispatch/explain.go
+++ b/dispatch/explain.go
@@ -50,7 +50,7 @@
 
 // explainTask describes one task; room is what a ready one waits for.
 func (c *Core) explainTask(t *task, room string, now Instant) TaskInfo {
-	info := TaskInfo{Task: t.id().String(), Phase: t.phase.String(), Crashes: t.suspicion()}
+	info := TaskInfo{Task: t.id().String(), Phase: t.phase.String(), Crashes: t.suspectedCrashes()}
 	if a := t.attempt; a != nil {
 		info.Worker, info.Run, info.Pace = WorkerID(a.worker.info.ID.Name()), a.run, a.percent
 		return info
@@ -66,9 +66,9 @@
 	case phaseReady:
 		info.ReadyMS = (now.Steady - t.readySince).Milliseconds()
 		info.WaitsFor = room
-		if reason := c.suspectWaits(t, now); reason != "" {
+		if reason := c.suspectWaitReason(t, now); reason != "" {
 			info.WaitsFor = reason
-		} else if t.suspicion() > 0 {
+		} else if t.suspectedCrashes() > 0 {
 			info.WaitsFor = "a worker apart from other tasks that may crash it"
 		}
 	}
--- a/dispatch/fulllist_test.go
+++ b/dispatch/fulllist_test.go
@@ -23,8 +23,8 @@
 // it would start a task again whose done end is acknowledged afterwards.
 func TestFullAnswerAtTakeoverProvesNothing(t *testing.T) {
 	now := Instant{Steady: time.Second}
-	core := livesCore(now, RosterEntry{ID: "w1", Address: "w1", VM: "m1"})
-	core.SetWorkers([]WorkerInfo{lifeInfo("w1", "m1"), lifeInfo("w2", "m2")}, now)
+	core := recoveredCore(now, RosterEntry{ID: "w1", Address: "w1", VM: "m1"})
+	core.SetWorkers([]WorkerInfo{testWorkerInfo("w1", "m1"), testWorkerInfo("w2", "m2")}, now)
 	rosterOf(t, core)
 	poll(core, "w2", now.Steady, now.Steady+time.Millisecond)
 	spec := simpleJob(1, 1)
--- a/dispatch/gang.go
+++ b/dispatch/gang.go
@@ -11,7 +11,7 @@
 			return
 		}
 	}
-	if c.suspectWaits(s.tasks[0], now) != "" {
+	if c.suspectWaitReason(s.tasks[0], now) != "" {
 		return
 	}
 	chosen, apart := c.chooseGangApart(s, p, now)
@@ -19,7 +19,7 @@
 		return
 	}
 	for _, w := range chosen {
-		apart = apart && !w.startedLately(now)
+		apart = apart && !w.startedRecently(now)
 	}
 	s.gangRun = c.newRun()
 	for i, t := range s.tasks {
@@ -32,8 +32,8 @@
 	}
 	for _, t := range s.tasks {
 		if t.attempt != nil {
-			c.tryApart(t, apart, now)
-			p.apart(now).take(t.attempt.worker)
+			c.recordSuspectStart(t, apart, now)
+			p.suspectFree(now).exclude(t.attempt.worker)
 		}
 	}
 }
@@ -45,7 +45,7 @@
 	if s.suspects == 0 {
 		return c.chooseGang(s, p.workers, now), false
 	}
-	free := p.apart(now).workers
+	free := p.suspectFree(now).workers
 	if chosen = c.chooseGang(s, free, now); chosen != nil || now.Steady-s.tasks[0].readySince < starvedAfter {
 		return chosen, true
 	}
--- a/dispatch/jobs.go
+++ b/dispatch/jobs.go
@@ -87,7 +87,7 @@
 	phase      phase
 	attempt    *attempt
 	checkpoint checkpoint // unless it is of a gang
-	// lastStart is the newest run that this owner ordered or adopted, previousStart the
+	// isLastStart is the newest run that this owner ordered or adopted, previousStart the
 	// one before it.
 	lastStart, previousStart startedRun
 	// notBefore delays a start after a failure.
@@ -107,14 +107,14 @@
 	failedInTerm bool
 	// crashes is how many workers in a row crashed at its start, counted for a gang at
 	// its first task; crashVersion is the job's version that records it;
-	// unconfirmedCrashes is how many more of its runs may have been crashes, see lostLife.
+	// unconfirmedCrashes is how many more of its runs may have been crashes, see lostIncarnation.
 	crashes, unsettled int
 	crashVersion       uint64
 	// comparedAt is when its newest crash is compared with those of other workers; see
 	// crashComparison.
 	comparedAt time.Duration
 	// possibleCrashRuns may have crashed their workers, while no crash is known; see
-	// noteLostWithOwner and noteUnclearEnd.
+	// recordStartLostWithOwner and recordInconclusiveEnd.
 	doubts []uint64
 	// lastStartKnown is set once the outcome of its last start by the previous
 	// owner is known.
@@ -163,7 +163,7 @@
 	tail           tailWatch
 	ticket         string
 	adopted        bool
-	trial          bool // see tryApart
+	trial          bool // see recordSuspectStart
 }
 
 func (t *task) id() job.TaskID {
@@ -216,8 +216,8 @@
 	j.build(stored && len(c.unresolved) > 0)
 	c.takeCrashes(j)
 	if stored {
-		c.takeDoubts(j, now)
-		c.takeStarts(j, now)
+		c.recoverPossibleCrashes(j, now)
+		c.recoverStarts(j, now)
 	}
 	if j.progress.State.Final() {
 		return
--- a/dispatch/latestart_test.go
+++ b/dispatch/latestart_test.go
@@ -17,9 +17,9 @@
 // one that is idle, and a job that the previous owner may have started.
 func takeoverWithRoster(t *testing.T, now Instant) (*Core, *job.Spec) {
 	t.Helper()
-	core := livesCore(now, RosterEntry{ID: "w1", Address: "w1", VM: "m1"})
+	core := recoveredCore(now, RosterEntry{ID: "w1", Address: "w1", VM: "m1"})
 	core.params.TaskLease = 3 * time.Second
-	core.SetWorkers([]WorkerInfo{lifeInfo("w1", "m1"), lifeInfo("w2", "m2")}, now)
+	core.SetWorkers([]WorkerInfo{testWorkerInfo("w1", "m1"), testWorkerInfo("w2", "m2")}, now)
 	rosterOf(t, core)
 	poll(core, "w2", now.Steady, now.Steady+time.Millisecond)
 	spec := simpleJob(1, 1)
--- a/dispatch/lists.go
+++ b/dispatch/lists.go
@@ -140,7 +140,7 @@
 	}
 	a.missed, a.listed = false, true
 	a.atWork = row.Percent == fullPace
-	c.noteOutlived(a, now)
+	c.clearIfOutlived(a, now)
 	if !a.worker.forLease { // two lists at short intervals give no measure of speed
 		c.noteProgress(a, row.Percent, now)
 	}
--- a/dispatch/lives.go
+++ b/dispatch/lives.go
@@ -12,7 +12,7 @@
 
 // IncarnationID names an incarnation, one run of a worker's process, by the worker's id and
 // the Unix millisecond when it started; 0 if that is not known.
-func LifeID(name string, born int64) WorkerID {
+func IncarnationID(name string, born int64) WorkerID {
 	if born == 0 {
 		return WorkerID(name)
 	}
@@ -47,7 +47,7 @@
 
 // mayMatch reports whether two names may be of one incarnation: one without a start time may
 // be any of its worker's id.
-func (id WorkerID) mayBe(other WorkerID) bool {
+func (id WorkerID) mayMatch(other WorkerID) bool {
 	if id == other {
 		return true
 	}
@@ -59,8 +59,8 @@
 const TokensPerTerm = 256
 
 // sameIDIncarnations are the incarnations under one worker's id.
-type namesakes struct {
-	lives []*worker // those that the owner has a record of
+type sameIDIncarnations struct {
+	incarnations []*worker // those that the owner has a record of
 	// newest is the one that was found last, generation how often that has changed.
 	newest     WorkerID
 	generation uint64
@@ -78,11 +78,11 @@
 }
 
 // addToName adds an incarnation to those under its worker's id.
-func (c *Core) joinName(w *worker) {
+func (c *Core) addToName(w *worker) {
 	id := w.info.ID
 	n := c.names[id.Name()]
 	if n == nil {
-		n = &namesakes{newest: id}
+		n = &sameIDIncarnations{newest: id}
 		c.names[id.Name()] = n
 	}
 	if n.newest != id {
@@ -94,23 +94,23 @@
 		c.deposed = true
 	}
 	w.follows = n.generation > 0
-	n.lives = append(n.lives, w)
+	n.incarnations = append(n.incarnations, w)
 }
 
 // removeFromName is the opposite of addToName. The token stays unchanged.
-func (c *Core) leaveName(w *worker) {
+func (c *Core) removeFromName(w *worker) {
 	name := w.info.ID.Name()
 	n := c.names[name]
-	n.lives = slices.DeleteFunc(n.lives, func(o *worker) bool { return o == w })
-	if len(n.lives) == 0 && n.generation == 0 {
+	n.incarnations = slices.DeleteFunc(n.incarnations, func(o *worker) bool { return o == w })
+	if len(n.incarnations) == 0 && n.generation == 0 {
 		delete(c.names, name)
 	}
 }
 
 // otherIncarnations returns the other known incarnations under a worker's id and on its VM.
-func (c *Core) otherLives(w *worker) []*worker {
+func (c *Core) otherIncarnations(w *worker) []*worker {
 	var list []*worker
-	for _, known := range [][]*worker{c.names[w.info.ID.Name()].lives, c.lives[w.info.VM]} {
+	for _, known := range [][]*worker{c.names[w.info.ID.Name()].incarnations, c.lives[w.info.VM]} {
 		for _, other := range known {
 			if other != w && !slices.Contains(list, other) {
 				list = append(list, other)
@@ -121,12 +121,12 @@
 }
 
 // successor returns the incarnation that follows a worker under its id, as far as is known.
-func (c *Core) namesake(w *worker) *worker {
+func (c *Core) successor(w *worker) *worker {
 	n := c.names[w.info.ID.Name()]
 	if next := c.workers[n.newest]; next != nil && next != w {
 		return next
 	}
-	for _, next := range slices.Backward(n.lives) {
+	for _, next := range slices.Backward(n.incarnations) {
 		if next != w {
 			return next
 		}
@@ -136,21 +136,21 @@
 
 // handleRestart handles a poll that was answered by another incarnation, under the same id,
 // than the one it was sent to.
-func (c *Core) restarted(w *worker, reply HoldReply, now Instant) {
-	id := LifeID(w.info.ID.Name(), reply.Born)
+func (c *Core) handleRestart(w *worker, reply HoldReply, now Instant) {
+	id := IncarnationID(w.info.ID.Name(), reply.Born)
 	c.stats.Restarts++
 	c.trace(Decision{
 		Event: "worker_restarted", Worker: id, Reason: "before: " + string(w.info.ID),
 		Detail: fmt.Sprintf("clock %d after %d, %d ends listed, %d processed before", reply.ClockMS, w.clock, len(reply.Ended), w.processed),
 	})
-	c.addNextLife(w, id, now)
+	c.addSuccessor(w, id, now)
 	c.names[id.Name()].newest = id
 	c.lifeOver(w, "another life answers under its id", now)
 }
 
 // addSuccessor adds the incarnation that follows a worker under its id, unless it is known
 // or has ended too.
-func (c *Core) addNextLife(w *worker, id WorkerID, now Instant) {
+func (c *Core) addSuccessor(w *worker, id WorkerID, now Instant) {
 	if c.over[id] || c.workers[id] != nil {
 		return
 	}
@@ -163,17 +163,17 @@
 // transferRuns transfers the runs that the next incarnation under a worker's id may carry out,
 // since calls name only the id. Runs that the previous incarnation has listed ended with it,
 // if its start time is known: without that, the next one may be the same.
-func (c *Core) inherit(w, next *worker) {
+func (c *Core) transferRuns(w, next *worker) {
 	for _, a := range slices.Clone(w.attempts) {
 		if !a.unsent && (!a.listed || w.info.ID.Born() == 0) {
 			a.moveTo(next)
 		}
 	}
 	if w.info.ID.Born() != 0 {
-		c.doubtEnds(w, next)
+		c.excludeForAcknowledgement(w, next)
 	}
 	next.leaseSent = max(next.leaseSent, w.leaseSent)
-	c.inheritUnresolved(w, next)
+	c.transferUnresolved(w, next)
 }
 
 // attemptAt returns a task's attempt if it is this run, at this worker. One that was sent to
@@ -196,7 +196,7 @@
 // excludeForAcknowledgement keeps new tasks off an incarnation that may have received an
 // acknowledgement meant for the previous one. It may forget as many of its own ends before they
 // are read, and nothing would show whether a run that it no longer lists is done.
-func (c *Core) doubtEnds(w, next *worker) {
+func (c *Core) excludeForAcknowledgement(w, next *worker) {
 	if w.ackUnanswered == 0 || next.endsDoubted {
 		return
 	}
@@ -211,7 +211,7 @@
 // while another owner may be active. The next incarnation has no record of terms: it would
 // carry out a start of this owner although the other owner has read the previous incarnation.
 // An answer may be read long after it was given, so the time when its poll was sent counts.
-func (c *Core) lifeDoubted(w *worker, now Instant) bool {
+func (c *Core) mayHaveRestarted(w *worker, now Instant) bool {
 	return !c.certain(now) && w.info.ID.Born() != 0 && now.Steady-w.answeredSent > lifeFresh
 }
 
@@ -234,14 +234,14 @@
 // transferUnresolved transfers to the next incarnation the tasks that the previous owner may
 // have sent to this one, unless the next one's lists were already read. If this one was lost
 // before its lists were read, these tasks may have crashed it.
-func (c *Core) inheritUnresolved(w, next *worker) {
+func (c *Core) transferUnresolved(w, next *worker) {
 	from := w.info.ID
 	u, ok := c.unresolved[from]
 	if !ok || next.synced {
 		return
 	}
 	if w.heardAt == 0 && from.Born() != 0 {
-		c.noteUnheard(u)
+		c.recordUnreadLoss(u)
 	}
 	known, ok := c.unresolved[next.info.ID]
 	if !ok {
--- a/dispatch/lives_test.go
+++ b/dispatch/lives_test.go
@@ -6,13 +6,13 @@
 )
 
 // recoveredCore returns a core that has taken over with a roster of these workers.
-func livesCore(now Instant, roster ...RosterEntry) *Core {
+func recoveredCore(now Instant, roster ...RosterEntry) *Core {
 	core := sureCore(Params{RecoveryWait: 10 * time.Second}, 2, now)
 	core.Recover(roster, now)
 	return core
 }
 
-func lifeInfo(id, vm string) WorkerInfo {
+func testWorkerInfo(id, vm string) WorkerInfo {
 	return WorkerInfo{ID: WorkerID(id), VM: vm, Address: id, Service: "svc", CPUMilli: 16000, MemoryMiB: 64000}
 }
 
@@ -25,10 +25,10 @@
 // TestNextIncarnationOnAVMEndsThePreviousOne: after maintenance or a crash the roster names an
 // incarnation that never answers. Tasks that may have run there must not wait for RecoveryWait at
 // each takeover once the next incarnation on the VM answers.
-func TestNextLifeOfAVMEndsTheOneBefore(t *testing.T) {
+func TestNextIncarnationOnAVMEndsThePreviousOne(t *testing.T) {
 	now := Instant{Steady: time.Second}
-	core := livesCore(now, RosterEntry{ID: "old", Address: "old", VM: "m1"}, RosterEntry{ID: "other", Address: "other", VM: "m2"})
-	core.SetWorkers([]WorkerInfo{lifeInfo("new", "m1"), lifeInfo("other", "m2")}, now)
+	core := recoveredCore(now, RosterEntry{ID: "old", Address: "old", VM: "m1"}, RosterEntry{ID: "other", Address: "other", VM: "m2"})
+	core.SetWorkers([]WorkerInfo{testWorkerInfo("new", "m1"), testWorkerInfo("other", "m2")}, now)
 	core.AddJob(simpleJob(1, 1), nil, true, now)
 	poll(core, "other", 1100*time.Millisecond, 1110*time.Millisecond)
 	if n := core.Recovering(); n != 1 {
@@ -42,12 +42,12 @@
 
 // TestLateAnswerDoesNotEndALaterIncarnation: an answer that was delayed for long proves nothing
 // about an incarnation that became known meanwhile.
-func TestLateAnswerDoesNotEndALaterLife(t *testing.T) {
+func TestLateAnswerDoesNotEndALaterIncarnation(t *testing.T) {
 	now := Instant{Steady: time.Second}
-	core := livesCore(now)
-	core.SetWorkers([]WorkerInfo{lifeInfo("first", "m1")}, now)
+	core := recoveredCore(now)
+	core.SetWorkers([]WorkerInfo{testWorkerInfo("first", "m1")}, now)
 	order := core.PlanHold("first", Instant{Steady: 2 * time.Second}).Order
-	core.SetWorkers([]WorkerInfo{lifeInfo("second", "m1")}, Instant{Steady: 3 * time.Second})
+	core.SetWorkers([]WorkerInfo{testWorkerInfo("second", "m1")}, Instant{Steady: 3 * time.Second})
 	poll(core, "second", 3100*time.Millisecond, 3110*time.Millisecond)
 	core.HoldDone(order, HoldReply{ClockMS: 2000}, OutcomeOK, Instant{Steady: 4 * time.Second})
 	if core.workers["second"] == nil {
@@ -59,14 +59,14 @@
 // removed from the roster, even if a write that names it was in progress.
 func TestUnlistedIdleWorkerLeavesTheRoster(t *testing.T) {
 	now := Instant{Steady: time.Second}
-	core := livesCore(now)
-	core.SetWorkers([]WorkerInfo{lifeInfo("w1", "m1"), lifeInfo("w2", "m2")}, now)
+	core := recoveredCore(now)
+	core.SetWorkers([]WorkerInfo{testWorkerInfo("w1", "m1"), testWorkerInfo("w2", "m2")}, now)
 	parts, err := core.Roster(1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	poll(core, "w1", now.Steady, now.Steady+time.Millisecond)
-	core.SetWorkers([]WorkerInfo{lifeInfo("w2", "m2")}, now)
+	core.SetWorkers([]WorkerInfo{testWorkerInfo("w2", "m2")}, now)
 	core.RosterStored(parts) // the write that was in progress still names it
 	if !core.RosterStale() {
 		t.Error("the roster is not written again")
--- a/dispatch/longidle_test.go
+++ b/dispatch/longidle_test.go
@@ -13,7 +13,7 @@
 	core := New(Params{MaxTaskLease: 6 * time.Second, TaskLease: 3 * time.Second, OwnerTTL: 2500 * time.Millisecond, OwnerHorizon: 12 * time.Second}, 2, nil)
 	core.Renewed(now.Steady)
 	core.SetConfig(sureCore(Params{}, 1, now).config)
-	core.SetWorkers([]WorkerInfo{lifeInfo("w1", "m1")}, now)
+	core.SetWorkers([]WorkerInfo{testWorkerInfo("w1", "m1")}, now)
 	rosterOf(t, core)
 	for end := now.Steady + idle; now.Steady < end; now.Steady += idlePause {
 		core.Renewed(now.Steady)
@@ -22,7 +22,7 @@
 		}
 	}
 	core.Renewed(now.Steady)
-	core.SetWorkers([]WorkerInfo{lifeInfo("w1", "m1")}, now)
+	core.SetWorkers([]WorkerInfo{testWorkerInfo("w1", "m1")}, now)
 	rosterOf(t, core)
 	return core, now
 }
--- a/dispatch/lostlife.go
+++ b/dispatch/lostlife.go
@@ -8,10 +8,10 @@
 // Limits for lost incarnations.
 const (
 	// lostIncarnationKept bounds the wait for the next incarnation on a VM whose worker was lost.
-	lostLifeKept = time.Minute
+	lostIncarnationKept = time.Minute
 	// crashedVMAvoidance is how long suspects avoid a VM whose worker has crashed: the VM
 	// itself may be faulty.
-	crashedLately = 30 * time.Second
+	crashedVMAvoidance = 30 * time.Second
 )
 
 // LostRun is a run that had recently started when its worker fell silent.
@@ -28,13 +28,13 @@
 }
 
 // inconclusive reports whether the crash proves nothing about the run.
-func (r LostRun) unsure() bool { return r.Older || r.Unconfirmed }
+func (r LostRun) inconclusive() bool { return r.Older || r.Unconfirmed }
 
 // lostIncarnation is an incarnation whose leases expired before it was known how it
 // ended. Its runs are unsettled until the VM answers again.
-type lostLife struct {
+type lostIncarnation struct {
 	id  WorkerID
-	end lifeEnd
+	end incarnationEnd
 	// busy is set if it had tasks, and was therefore polled by this owner.
 	busy bool
 	loss contactLoss
@@ -47,7 +47,7 @@
 }
 
 // taskNames returns the tasks of the incarnation's runs.
-func (l lostLife) taskNames() []string {
+func (l lostIncarnation) taskNames() []string {
 	names := make([]string, len(l.runs))
 	for i, r := range l.runs {
 		names[i] = r.Task
@@ -57,7 +57,7 @@
 
 // lostRuns returns the recently started runs at a worker as records that outlive it.
 func (w *worker) lostRuns(now Instant) []LostRun {
-	recent := w.youngRuns()
+	recent := w.recentRuns()
 	silentSince := now.Steady
 	if w.loss.since > 0 {
 		silentSince = w.loss.since
@@ -69,7 +69,7 @@
 	list := make([]LostRun, 0, len(recent))
 	for _, a := range recent {
 		list = append(list, LostRun{
-			Task: a.task.id().String(), Run: a.run, Older: newest-a.placedAt >= justStarted, Unconfirmed: !a.confirmed(),
+			Task: a.task.id().String(), Run: a.run, Older: newest-a.placedAt >= recentStartWindow, Unconfirmed: !a.confirmed(),
 			Trial: a.trial && a.confirmed() && silentSince-a.placedAt <= trialTime,
 		})
 	}
@@ -84,8 +84,8 @@
 }
 
 // lostIncarnationOf returns the record of a worker whose runs are about to be lost.
-func (c *Core) lifeOf(w *worker, now Instant) lostLife {
-	l := lostLife{id: w.info.ID, end: c.howEnded(w, now), busy: len(w.attempts) > 0, loss: w.loss, runs: w.lostRuns(now), at: now.Steady}
+func (c *Core) lostIncarnationOf(w *worker, now Instant) lostIncarnation {
+	l := lostIncarnation{id: w.info.ID, end: c.classifyEnd(w, now), busy: len(w.attempts) > 0, loss: w.loss, runs: w.lostRuns(now), at: now.Steady}
 	if l.loss.since == 0 {
 		l.loss = contactLoss{since: now.Steady, broken: true}
 	}
@@ -94,12 +94,12 @@
 
 // recentRunsForRoster returns the runs of a silent worker that may have crashed it, as a
 // record for the next owner.
-func (c *Core) youngForRoster(w *worker) []LostRun {
+func (c *Core) recentRunsForRoster(w *worker) []LostRun {
 	if !w.loss.broken {
 		return nil
 	}
 	silent := Instant{Steady: w.loss.since}
-	if c.howEnded(w, silent) != endCrashed {
+	if c.classifyEnd(w, silent) != endCrashed {
 		return nil
 	}
 	return w.lostRuns(silent)
@@ -109,14 +109,14 @@
 // to have ended, it crashed under the previous owner.
 func (c *Core) recoverLost(e RosterEntry, now Instant) {
 	if e.VM != "" && len(e.Young) > 0 {
-		c.lostLives[e.VM] = lostLife{id: e.ID, end: endCrashed, loss: contactLoss{now.Steady, true}, runs: e.Young, inherited: true, at: now.Steady}
+		c.lostLives[e.VM] = lostIncarnation{id: e.ID, end: endCrashed, loss: contactLoss{now.Steady, true}, runs: e.Young, inherited: true, at: now.Steady}
 	}
 }
 
 // keepUnsettled keeps the runs of a worker that is lost without proof that its incarnation
 // has ended. Whether it crashed is known once the VM answers again. Until then its tasks
 // run elsewhere, or wait if too many of their runs are unsettled.
-func (c *Core) keepUnsettled(vm string, l lostLife) {
+func (c *Core) keepUnsettled(vm string, l lostIncarnation) {
 	if l.end != endCrashed || vm == "" || len(l.runs) == 0 {
 		return
 	}
@@ -127,7 +127,7 @@
 }
 
 // dropUnsettled drops the lost incarnation of a VM and returns it.
-func (c *Core) dropUnsettled(vm string) (lostLife, bool) {
+func (c *Core) dropUnsettled(vm string) (lostIncarnation, bool) {
 	l, ok := c.lostLives[vm]
 	if !ok {
 		return l, false
@@ -140,10 +140,10 @@
 }
 
 // addUnsettled changes the number of unsettled runs of each task of a lost incarnation.
-func (c *Core) addUnsettled(l lostLife, change int) {
+func (c *Core) addUnsettled(l lostIncarnation, change int) {
 	for _, r := range l.runs {
-		if t := c.suspectNamed(r.Task); t != nil {
-			c.setSuspicion(t, t.crashes, t.unsettled+change)
+		if t := c.suspectByName(r.Task); t != nil {
+			c.setSuspectedCrashes(t, t.crashes, t.unsettled+change)
 		}
 	}
 }
@@ -159,17 +159,17 @@
 // forgetOldCrashes drops records of VMs that are older than their limits.
 func (c *Core) forgetOldCrashes(now Instant) {
 	for vm, l := range c.lostLives {
-		if now.Steady-l.at > lostLifeKept {
+		if now.Steady-l.at > lostIncarnationKept {
 			c.dropUnsettled(vm)
 		}
 	}
 	for vm, r := range c.crashed {
-		if now.Steady-r.at > crashedLately {
+		if now.Steady-r.at > crashedVMAvoidance {
 			delete(c.crashed, vm)
 		}
 	}
 	for vm, at := range c.fellSilent {
-		if now.Steady-at > crashedLately {
+		if now.Steady-at > crashedVMAvoidance {
 			delete(c.fellSilent, vm)
 		}
 	}
@@ -179,9 +179,9 @@
 // any record of it, at a worker that was lost before this owner read its lists. That start
 // proves nothing, but counts towards maxCrashes once the task crashes a worker. It applies
 // to tasks without known crashes: each start of a suspect is recorded anyway.
-func (c *Core) noteLostWithOwner(t *task, now Instant) {
+func (c *Core) recordStartLostWithOwner(t *task, now Instant) {
 	if t.suspect() == t && t.step.mayHaveBegun(now) && t.step.gangRun == 0 && !t.lastStartKnown && t.crashes == 0 && c.lostInTerm.has(t) {
-		c.addDoubt(t, c.term<<runBits)
+		c.addPossibleCrash(t, c.term<<runBits)
 	}
 }
 
@@ -190,37 +190,37 @@
 // with others of its rack. The start of a suspect counts towards maxCrashes, but proves
 // nothing; that of another task counts once the task crashes a worker. Tasks that only were at
 // workers that were cut off are not suspected.
-func (c *Core) noteUnclearEnd(l lostLife, now Instant) {
+func (c *Core) recordInconclusiveEnd(l lostIncarnation, now Instant) {
 	for _, r := range l.runs {
-		t := c.suspectNamed(r.Task)
+		t := c.suspectByName(r.Task)
 		if t == nil {
 			continue
 		}
 		c.dropStarts(t, r.Run)
 		switch {
-		case r.unsure():
+		case r.inconclusive():
 		case t.crashes > 0:
-			c.countUnsure(t, r.Run, "it was started shortly before its worker's incarnation ended: "+l.end.String())
+			c.countInconclusive(t, r.Run, "it was started shortly before its worker's incarnation ended: "+l.end.String())
 			c.giveUpIfCrasher(t, false, now)
 		default:
-			c.addDoubt(t, r.Run)
+			c.addPossibleCrash(t, r.Run)
 		}
 	}
 }
 
 // maxPossibleCrashes is how many possible crashes of a task are kept: with more, the
 // proven crashes would not decide.
-const mostDoubts = mostCrashes - crashLimit
+const maxPossibleCrashes = maxCrashes - crashLimit
 
 // addPossibleCrash records a run that may have crashed its worker, of a task without known
 // crashes.
-func (c *Core) addDoubt(t *task, run uint64) {
-	if len(t.doubts) < mostDoubts && !slices.Contains(t.doubts, run) {
-		c.setDoubts(t, append(slices.Clone(t.doubts), run))
+func (c *Core) addPossibleCrash(t *task, run uint64) {
+	if len(t.doubts) < maxPossibleCrashes && !slices.Contains(t.doubts, run) {
+		c.setPossibleCrashes(t, append(slices.Clone(t.doubts), run))
 	}
 }
 
-func (c *Core) setDoubts(t *task, runs []uint64) {
+func (c *Core) setPossibleCrashes(t *task, runs []uint64) {
 	switch {
 	case len(t.doubts) == 0 && len(runs) > 0:
 		c.doubtful++
@@ -232,7 +232,7 @@
 
 // recoverPossibleCrashes records a possible crash for each task that may have run at workers
 // lost under earlier owners.
-func (c *Core) takeDoubts(j *jobState, now Instant) {
+func (c *Core) recoverPossibleCrashes(j *jobState, now Instant) {
 	if c.lostUnheard.none() {
 		return
 	}
@@ -242,7 +242,7 @@
 		}
 		for _, t := range s.tasks {
 			if t.phase != phaseDone && t.suspect() == t && t.crashes == 0 && c.lostUnheard.has(t) {
-				c.addDoubt(t, (c.term-1)<<runBits)
+				c.addPossibleCrash(t, (c.term-1)<<runBits)
 			}
 		}
 	}
--- a/dispatch/lostowner_test.go
+++ b/dispatch/lostowner_test.go
@@ -45,7 +45,7 @@
 func lostOwnerRun(t *testing.T, f *crashFleet, crash int, after time.Duration, storeDown bool) {
 	t.Helper()
 	bad, good := simpleJob(1, 1), simpleJob(2, 24)
-	f.crasher = crashesOf(bad)
+	f.crasher = firstTaskOf(bad)
 	f.core.AddJob(good, nil, false, f.now)
 	f.pass(8 * time.Second)
 	f.core.AddJob(bad, nil, false, f.now)
@@ -86,7 +86,7 @@
 		f := newCrashFleet(t, 24)
 		f.crashDown = 500 * time.Millisecond
 		bad, good := simpleJob(1, 1), simpleJob(2, 24)
-		f.crasher = crashesOf(bad)
+		f.crasher = firstTaskOf(bad)
 		f.core.AddJob(good, nil, false, f.now)
 		f.pass(8 * time.Second)
 		f.core.AddJob(bad, nil, false, f.now)
--- a/dispatch/members.go
+++ b/dispatch/members.go
@@ -62,7 +62,7 @@
 	if info.VM != "" {
 		c.lives[info.VM] = append(c.lives[info.VM], w)
 	}
-	c.joinName(w)
+	c.addToName(w)
 	c.join(w)
 	return w
 }
--- a/dispatch/onlyonce_test.go
+++ b/dispatch/onlyonce_test.go
@@ -108,7 +108,7 @@
 			if p == nil {
 				core.Cancel(spec.ID, now)
 			}
-			core.SetWorkers([]WorkerInfo{lifeInfo("w0", "m0")}, now)
+			core.SetWorkers([]WorkerInfo{testWorkerInfo("w0", "m0")}, now)
 			row := RunningTask{Task: job.TaskID{Job: spec.ID}, Run: 1<<runBits | 1, Percent: 10}
 			stops := 0
 			for i := range 8 {
--- a/dispatch/orders.go
+++ b/dispatch/orders.go
@@ -100,11 +100,11 @@
 		return
 	case OutcomeUnknown, OutcomeBroken:
 		w.unanswered++
-		w.noteUnanswered(ans.Outcome, now)
+		w.recordNoAnswer(ans.Outcome, now)
 	case OutcomeNotSent:
 	default:
 		w.unanswered = 0
-		w.noteAnswered(now)
+		w.recordAnswer(now)
 		w.noteClock(ans.ClockMS, now)
 	}
 	t := c.findTask(o.Task)
--- a/dispatch/overload_test.go
+++ b/dispatch/overload_test.go
@@ -106,7 +106,7 @@
 // TestLateOwnerWaitsForThePreviousOwnersWorkers checks the same after a takeover.
 func TestLateOwnerWaitsForThePreviousOnesWorkers(t *testing.T) {
 	now := Instant{Steady: time.Second}
-	core := livesCore(now, RosterEntry{ID: "w1", Address: "w1"})
+	core := recoveredCore(now, RosterEntry{ID: "w1", Address: "w1"})
 	plan := core.PlanHold("w1", now)
 	core.HoldDone(plan.Order, HoldReply{}, OutcomeUnknown, now)
 	now.Steady += 11 * time.Second
--- a/dispatch/ownerslost_test.go
+++ b/dispatch/ownerslost_test.go
@@ -77,7 +77,7 @@
 func (f *crashFleet) playCrasher(beside int, atCrash func(crash int, jobs ...*job.Spec)) {
 	f.t.Helper()
 	bad, good := simpleJob(1, 1), simpleJob(2, beside)
-	f.crasher = crashesOf(bad)
+	f.crasher = firstTaskOf(bad)
 	f.core.AddJob(good, nil, false, f.now)
 	f.pass(8 * time.Second)
 	f.core.AddJob(bad, nil, false, f.now)
--- a/dispatch/partlyread_test.go
+++ b/dispatch/partlyread_test.go
@@ -13,9 +13,9 @@
 // a task whose done end is acknowledged shortly afterwards would start again.
 func TestPartlyReadWorkerIsWaitedForWhileItsLeasesLast(t *testing.T) {
 	now := Instant{Steady: time.Second}
-	core := livesCore(now, RosterEntry{ID: "w1", Address: "w1", VM: "m1"})
+	core := recoveredCore(now, RosterEntry{ID: "w1", Address: "w1", VM: "m1"})
 	core.params.TaskLease = 3 * time.Second
-	core.SetWorkers([]WorkerInfo{lifeInfo("w1", "m1"), lifeInfo("w2", "m2")}, now)
+	core.SetWorkers([]WorkerInfo{testWorkerInfo("w1", "m1"), testWorkerInfo("w2", "m2")}, now)
 	rosterOf(t, core)
 	spec := simpleJob(1, 1)
 	core.AddJob(spec, nil, true, now)
--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -59,7 +59,7 @@
 	use      float64
 	useKnown bool
 	// withoutSuspects is set once a step of the pass has requested it.
-	withoutSuspects *apartPool
+	withoutSuspects *suspectFreePool
 }
 
 func (p *pool) usedPart() float64 {
@@ -83,7 +83,7 @@
 	}
 	var chosen *chooser
 	for _, t := range s.tasks {
-		if t.phase != phaseReady || t.suspicion() > 0 || now.Steady < t.notBefore || t.concluded && !c.certain(now) {
+		if t.phase != phaseReady || t.suspectedCrashes() > 0 || now.Steady < t.notBefore || t.concluded && !c.certain(now) {
 			continue
 		}
 		if chosen == nil || chosen.view != x.view {
--- a/dispatch/place_test.go
+++ b/dispatch/place_test.go
@@ -84,10 +84,10 @@
 			if t.phase != phaseReady || now.Steady < t.notBefore || t.concluded && !c.certain(now) {
 				continue
 			}
-			if t.suspicion() > 0 {
-				// It waits for a worker apart from other suspects, as placeApart chooses it, and is
-				// tried again after apartRetry.
-				if w, _ := c.placeApart(t, &pool{workers: workers}, now); w != nil && c.suspectWaits(t, now) == "" && now.Steady >= x.step.apartRetry {
+			if t.suspectedCrashes() > 0 {
+				// It waits for a worker apart from other suspects, as workerForSuspect chooses it, and is
+				// tried again after suspectRetryInterval.
+				if w, _ := c.workerForSuspect(t, &pool{workers: workers}, now); w != nil && c.suspectWaitReason(t, now) == "" && now.Steady >= x.step.apartRetry {
 					return t
 				}
 				continue
--- a/dispatch/polls.go
+++ b/dispatch/polls.go
@@ -110,7 +110,7 @@
 		return c.holdFailed(w, outcome, now)
 	}
 	if reply.Born != 0 && reply.Born != w.info.ID.Born() {
-		c.restarted(w, reply, now)
+		c.handleRestart(w, reply, now)
 		return 0
 	}
 	if w.unreached() {
@@ -121,7 +121,7 @@
 	w.answeredSent = w.holdSent
 	w.sureDeadline = max(w.sureDeadline, order.DeadlineMS)
 	w.told, w.ackUnanswered = max(w.told, order.Seen), 0
-	w.noteAnswered(now)
+	w.recordAnswer(now)
 	c.endOtherLives(w, now)
 	c.settleLost(w, now)
 	fresh := w.noteClock(reply.ClockMS, now)
@@ -145,7 +145,7 @@
 // The next incarnation of a worker's id would apply an acknowledgement to one of its own ends,
 // which then nobody reads. So a worker that may restart under its id gets each only once, in a
 // poll that follows an answer too closely for a restart, and none while the next incarnation may
-// have carried out a start. See Core.doubtEnds for the remaining cases.
+// have carried out a start. See Core.excludeForAcknowledgement for the remaining cases.
 func (w *worker) acknowledges(now Instant) uint64 {
 	switch {
 	case w.info.ID.Born() == 0:
@@ -205,7 +205,7 @@
 }
 
 func (c *Core) holdFailed(w *worker, outcome Outcome, now Instant) time.Duration {
-	w.noteUnanswered(outcome, now)
+	w.recordNoAnswer(outcome, now)
 	w.holdFails++
 	c.reach.changed()
 	w.failedSent = w.holdSent
--- a/dispatch/polls_test.go
+++ b/dispatch/polls_test.go
@@ -21,8 +21,8 @@
 func stoppedRunGone(t *testing.T, takes time.Duration) time.Duration {
 	t.Helper()
 	now := Instant{Steady: time.Second}
-	core := livesCore(now)
-	core.SetWorkers([]WorkerInfo{lifeInfo("w1", "m1")}, now)
+	core := recoveredCore(now)
+	core.SetWorkers([]WorkerInfo{testWorkerInfo("w1", "m1")}, now)
 	rosterOf(t, core)
 	poll(core, "w1", now.Steady, now.Steady+time.Millisecond)
 	core.AddJob(simpleJob(1, 1), nil, false, now)
@@ -67,8 +67,8 @@
 // A worker whose answers report no clock must not be polled without pauses.
 func TestUnreadWorkerIsPolledAtAPace(t *testing.T) {
 	now := Instant{Steady: time.Second}
-	core := livesCore(now, RosterEntry{ID: "w1", Address: "w1", VM: "m1"})
-	core.SetWorkers([]WorkerInfo{lifeInfo("w1", "m1")}, now)
+	core := recoveredCore(now, RosterEntry{ID: "w1", Address: "w1", VM: "m1"})
+	core.SetWorkers([]WorkerInfo{testWorkerInfo("w1", "m1")}, now)
 	polls := 0
 	for end := now.Steady + 10*time.Second; now.Steady < end; polls++ {
 		plan := core.PlanHold("w1", now)
--- a/dispatch/ports.go
+++ b/dispatch/ports.go
@@ -11,7 +11,7 @@
 )
 
 // WorkerID names one incarnation of a worker, which is one run of its process: the
-// worker's id and, if it reports one, its time of birth; see LifeID.
+// worker's id and, if it reports one, its time of birth; see IncarnationID.
 type WorkerID string
 
 // WorkerInfo is what the platform lists of a worker.
--- a/dispatch/progress.go
+++ b/dispatch/progress.go
@@ -65,7 +65,7 @@
 		s.ready--
 	}
 	t.phase = phaseDone
-	c.setDoubts(t, nil)
+	c.setPossibleCrashes(t, nil)
 	s.left--
 	s.job.progress.MarkDone(t.id(), s.spec.Count)
 	c.touch(s.job)
@@ -94,8 +94,8 @@
 	c.trace(Decision{Event: "job_" + string(state), Job: j.spec.ID, Reason: reason})
 	for _, s := range j.steps {
 		for _, t := range s.tasks {
-			c.setSuspicion(t, 0, 0)
-			c.setDoubts(t, nil)
+			c.setSuspectedCrashes(t, 0, 0)
+			c.setPossibleCrashes(t, nil)
 			if t.phase == phaseReady {
 				t.phase = phaseWaiting
 				s.ready--
--- a/dispatch/rackcrash_test.go
+++ b/dispatch/rackcrash_test.go
@@ -23,7 +23,7 @@
 				crashes = append(crashes, i+1)
 			}
 		}
-		if len(crashes) > mostCrashes-crashLimit {
+		if len(crashes) > maxCrashes-crashLimit {
 			continue
 		}
 		for _, after := range []time.Duration{0, 100, 300, 500, 800} {
--- a/dispatch/recover.go
+++ b/dispatch/recover.go
@@ -83,7 +83,7 @@
 		c.openUnresolved--
 	}
 	if w := c.workers[id]; w == nil || w.heardAt == 0 {
-		c.noteUnheard(u)
+		c.recordUnreadLoss(u)
 	}
 	c.settleStarts(id, now)
 	switch {
@@ -162,7 +162,7 @@
 				if t.phase == phaseUnknown && !c.mayRun(t) {
 					t.phase = phaseWaiting
 					t.concluded = true
-					c.noteLostWithOwner(t, now)
+					c.recordStartLostWithOwner(t, now)
 				}
 			}
 			if s.job.progress.State.Final() {
@@ -175,7 +175,7 @@
 			c.openStep(s, now)
 		}
 	}
-	c.forgetUnheard()
+	c.forgetUnread()
 }
 
 // repairGang ends a gang's run that lost members with the previous owner, once the
--- a/dispatch/recover_test.go
+++ b/dispatch/recover_test.go
@@ -65,7 +65,7 @@
 func startedCore(t *testing.T, now Instant) (*Core, WorkerID) {
 	t.Helper()
 	core := sureCore(Params{RecoveryWait: 10 * time.Second}, 1, now)
-	core.SetWorkers([]WorkerInfo{lifeInfo("w1", "m1"), lifeInfo("w2", "m2")}, now)
+	core.SetWorkers([]WorkerInfo{testWorkerInfo("w1", "m1"), testWorkerInfo("w2", "m2")}, now)
 	rosterOf(t, core)
 	for _, id := range []WorkerID{"w1", "w2"} {
 		poll(core, id, now.Steady, now.Steady+time.Millisecond)
@@ -85,7 +85,7 @@
 func TestTakeoverWaitsOnlyForWhatMayRunAtSilentWorkers(t *testing.T) {
 	for name, quieten := range map[string]func(core *Core, id WorkerID, now Instant){
 		"draining": func(core *Core, id WorkerID, now Instant) {
-			list := []WorkerInfo{lifeInfo("w1", "m1"), lifeInfo("w2", "m2")}
+			list := []WorkerInfo{testWorkerInfo("w1", "m1"), testWorkerInfo("w2", "m2")}
 			for i := range list {
 				list[i].Draining = list[i].ID == id
 			}
@@ -97,7 +97,7 @@
 			}
 		},
 		"not listed": func(core *Core, id WorkerID, now Instant) {
-			for _, info := range []WorkerInfo{lifeInfo("w1", "m1"), lifeInfo("w2", "m2")} {
+			for _, info := range []WorkerInfo{testWorkerInfo("w1", "m1"), testWorkerInfo("w2", "m2")} {
 				if info.ID != id {
 					core.SetWorkers([]WorkerInfo{info}, now)
 				}
@@ -111,8 +111,8 @@
 			old.Tick(now)
 			list := rosterOf(t, old)
 
-			next := livesCore(now, list...)
-			next.SetWorkers([]WorkerInfo{lifeInfo("w1", "m1"), lifeInfo("w2", "m2"), lifeInfo("w3", "m3")}, now)
+			next := recoveredCore(now, list...)
+			next.SetWorkers([]WorkerInfo{testWorkerInfo("w1", "m1"), testWorkerInfo("w2", "m2"), testWorkerInfo("w3", "m3")}, now)
 			next.AddJob(simpleJob(1, 2), nil, true, now) // as it was submitted
 			next.AddJob(simpleJob(2, 3), nil, true, now)
 			rosterOf(t, next)
@@ -205,8 +205,8 @@
 func TestRunsOfEndedJobsHoldTheirRoom(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		now := Instant{Steady: time.Second}
-		core := livesCore(now, RosterEntry{ID: "w1", Address: "w1"})
-		core.SetWorkers([]WorkerInfo{lifeInfo("w1", "m1")}, now)
+		core := recoveredCore(now, RosterEntry{ID: "w1", Address: "w1"})
+		core.SetWorkers([]WorkerInfo{testWorkerInfo("w1", "m1")}, now)
 		ended := simpleJob(1, 1)
 		ended.Steps[0].CPUMilli = 15000
 		if known {
@@ -243,9 +243,9 @@
 	for name, gang := range map[string]bool{"task": false, "gang": true} {
 		t.Run(name, func(t *testing.T) {
 			now := Instant{Steady: time.Second}
-			core := livesCore(now, RosterEntry{ID: "w1", Address: "w1"}, RosterEntry{ID: "w2", Address: "w2"})
+			core := recoveredCore(now, RosterEntry{ID: "w1", Address: "w1"}, RosterEntry{ID: "w2", Address: "w2"})
 			core.SetConfig(&job.Config{Version: 2, Queues: []job.Queue{{Name: "q", Service: "svc", MaxAttempts: 2, Stretch: 2}}})
-			core.SetWorkers([]WorkerInfo{lifeInfo("w1", "m1"), lifeInfo("w2", "m2"), lifeInfo("w3", "m3")}, now)
+			core.SetWorkers([]WorkerInfo{testWorkerInfo("w1", "m1"), testWorkerInfo("w2", "m2"), testWorkerInfo("w3", "m3")}, now)
 			rosterOf(t, core)
 			spec := simpleJob(1, 1)
 			spec.Steps[0].Gang = gang
@@ -277,9 +277,9 @@
 // The wait for earlier failures must end with the last worker's answer.
 func TestTakeoverRetriesOnceAllHaveAnswered(t *testing.T) {
 	now := Instant{Steady: time.Second}
-	core := livesCore(now, RosterEntry{ID: "w1", Address: "w1"}, RosterEntry{ID: "w2", Address: "w2"})
+	core := recoveredCore(now, RosterEntry{ID: "w1", Address: "w1"}, RosterEntry{ID: "w2", Address: "w2"})
 	core.SetConfig(&job.Config{Version: 2, Queues: []job.Queue{{Name: "q", Service: "svc", MaxAttempts: 2, Stretch: 2}}})
-	core.SetWorkers([]WorkerInfo{lifeInfo("w1", "m1"), lifeInfo("w2", "m2")}, now)
+	core.SetWorkers([]WorkerInfo{testWorkerInfo("w1", "m1"), testWorkerInfo("w2", "m2")}, now)
 	rosterOf(t, core)
 	spec := simpleJob(1, 1)
 	core.AddJob(spec, nil, true, now)
--- a/dispatch/restart_test.go
+++ b/dispatch/restart_test.go
@@ -18,16 +18,16 @@
 
 // restartCore is a core with a worker "w" that restarts under its id, and reports when it started.
 type restartCore struct {
-	t     *testing.T
-	core  *Core
-	now   Instant
-	life  WorkerID
-	clock int64
+	t           *testing.T
+	core        *Core
+	now         Instant
+	incarnation WorkerID
+	clock       int64
 }
 
 func newRestartCore(t *testing.T) *restartCore {
 	t.Helper()
-	x := &restartCore{t: t, now: Instant{Steady: time.Second}, life: LifeID("w", bornFirst), clock: clockFirst}
+	x := &restartCore{t: t, now: Instant{Steady: time.Second}, incarnation: IncarnationID("w", bornFirst), clock: clockFirst}
 	x.core = sureCore(Params{RecoveryWait: 10 * time.Second}, 1, x.now)
 	x.listWorkers()
 	x.pollAll(nil)
@@ -37,13 +37,13 @@
 // listWorkers applies a list with the present incarnation, and writes the roster.
 func (x *restartCore) listWorkers() {
 	x.t.Helper()
-	x.core.SetWorkers([]WorkerInfo{lifeInfo(string(x.life), "m")}, x.now)
+	x.core.SetWorkers([]WorkerInfo{testWorkerInfo(string(x.incarnation), "m")}, x.now)
 	x.core.Tick(x.now) // opens its entry in the roster
 	storeRoster(x.t, x.core)
 }
 
 // restart starts the worker's next incarnation.
-func (x *restartCore) restart() { x.life, x.clock = LifeID("w", bornSecond), 3 }
+func (x *restartCore) restart() { x.incarnation, x.clock = IncarnationID("w", bornSecond), 3 }
 
 // pass advances the time.
 func (x *restartCore) pass(d time.Duration) {
@@ -62,7 +62,7 @@
 		}
 		orders = append(orders, plan.Order)
 		x.pass(startGap)
-		x.core.HoldDone(plan.Order, HoldReply{ClockMS: x.clock, Born: x.life.Born(), Running: running, Ended: ended}, OutcomeOK, x.now)
+		x.core.HoldDone(plan.Order, HoldReply{ClockMS: x.clock, Born: x.incarnation.Born(), Running: running, Ended: ended}, OutcomeOK, x.now)
 	}
 	return orders
 }
@@ -111,7 +111,7 @@
 }
 
 // finishTasks has the first incarnation finish n tasks, and the owner acknowledge their ends.
-func (x *restartCore) doneBefore(n int) {
+func (x *restartCore) finishTasks(n int) {
 	x.t.Helper()
 	starts := x.submit(1, n, false)
 	if len(starts) != n {
@@ -127,11 +127,11 @@
 // TestTasksOfThePreviousIncarnationRestart: what ran at a worker that has restarted under its id
 // is started again, whatever the clocks of its incarnations show. While the next one's clock was
 // behind, its lists were discarded as overtaken answers of the previous one.
-func TestTasksOfTheLifeBeforeStartAgain(t *testing.T) {
+func TestTasksOfThePreviousIncarnationRestart(t *testing.T) {
 	x := newRestartCore(t)
 	starts := x.submit(1, 3, true)
 	x.answer(starts)
-	for x.now.Steady < 2*youngAtCrash { // none of them crashes its worker by its start
+	for x.now.Steady < 2*startCrashWindow { // none of them crashes its worker by its start
 		x.pollAll(rowsOf(starts))
 	}
 	x.restart()
@@ -145,9 +145,9 @@
 
 // TestEndsOfTheNextIncarnationCount: an incarnation numbers its ends from 1. They must not be
 // mistaken for ends of the previous one that were already processed, or the tasks start again.
-func TestEndsOfTheNextLifeCount(t *testing.T) {
+func TestEndsOfTheNextIncarnationCount(t *testing.T) {
 	x := newRestartCore(t)
-	x.doneBefore(6)
+	x.finishTasks(6)
 	x.restart()
 	starts := x.submit(2, 3, false) // sent to the previous incarnation
 	x.answer(starts)
@@ -166,10 +166,10 @@
 // TestStartCarriedOutByTheNextIncarnationIsNotRepeated: a start that was sent to the previous
 // incarnation and carried out by the next one runs there. It is neither stopped nor started
 // elsewhere, and a run that the next incarnation does not list is started again.
-func TestStartCarriedOutByTheNextLifeIsNotRepeated(t *testing.T) {
+func TestStartCarriedOutByTheNextIncarnationIsNotRepeated(t *testing.T) {
 	for _, listedFirst := range []bool{false, true} { // whether the platform lists the next incarnation before that answers
 		x := newRestartCore(t)
-		x.doneBefore(2)
+		x.finishTasks(2)
 		starts := x.submit(2, 2, false)
 		x.restart()
 		if listedFirst {
@@ -194,7 +194,7 @@
 
 // TestLateEntryOfThePreviousIncarnation: a list entry that an incarnation wrote before it ended may
 // take effect after that of the next one. It ends nothing.
-func TestLateEntryOfTheLifeBefore(t *testing.T) {
+func TestLateEntryOfThePreviousIncarnation(t *testing.T) {
 	x := newRestartCore(t)
 	x.restart()
 	x.listWorkers()
@@ -203,7 +203,7 @@
 	starts := x.submit(1, 2, true)
 	x.answer(starts)
 	x.pollAll(rowsOf(starts))
-	old := lifeInfo(string(LifeID("w", bornFirst)), "m")
+	old := testWorkerInfo(string(IncarnationID("w", bornFirst)), "m")
 	for range 3 {
 		x.core.SetWorkers([]WorkerInfo{old}, x.now)
 		x.pollAll(rowsOf(starts))
@@ -218,15 +218,15 @@
 
 // TestNextOwnerMeetsTheNextIncarnation: tasks that the previous owner may have sent to an
 // incarnation are read from the next one, whether or not the roster or the list names that one.
-func TestNextOwnerMeetsTheNextLife(t *testing.T) {
-	for _, inRoster := range []WorkerID{LifeID("w", bornFirst), LifeID("w", bornSecond), "w"} {
-		for _, inList := range []WorkerID{LifeID("w", bornFirst), LifeID("w", bornSecond), ""} {
-			x := &restartCore{t: t, now: Instant{Steady: time.Second}, life: LifeID("w", bornSecond), clock: 50}
+func TestNextOwnerMeetsTheNextIncarnation(t *testing.T) {
+	for _, inRoster := range []WorkerID{IncarnationID("w", bornFirst), IncarnationID("w", bornSecond), "w"} {
+		for _, inList := range []WorkerID{IncarnationID("w", bornFirst), IncarnationID("w", bornSecond), ""} {
+			x := &restartCore{t: t, now: Instant{Steady: time.Second}, incarnation: IncarnationID("w", bornSecond), clock: 50}
 			x.core = sureCore(Params{RecoveryWait: 10 * time.Second}, 2, x.now)
 			x.core.Recover([]RosterEntry{{ID: inRoster, Address: "w", VM: "m"}}, x.now)
 			var list []WorkerInfo
 			if inList != "" {
-				list = []WorkerInfo{lifeInfo(string(inList), "m")}
+				list = []WorkerInfo{testWorkerInfo(string(inList), "m")}
 			}
 			x.core.SetWorkers(list, x.now)
 			spec := simpleJob(1, 2)
@@ -250,9 +250,9 @@
 }
 
 // TestRosterNamesIncarnations: the roster names an incarnation by the worker's id and its start time.
-func TestRosterTellsLives(t *testing.T) {
+func TestRosterNamesIncarnations(t *testing.T) {
 	x := newRestartCore(t)
-	if list := rosterOf(t, x.core); len(list) != 1 || list[0].ID != x.life {
+	if list := rosterOf(t, x.core); len(list) != 1 || list[0].ID != x.incarnation {
 		t.Errorf("%+v", list)
 	}
 }
@@ -273,16 +273,16 @@
 
 // TestWorkerThatFirstReportsItsStartTime: an incarnation that was known by its id alone, as from an
 // entry without a start time, is the one that answers. Its runs go on and it has not crashed.
-func TestWorkerThatFirstTellsWhenItWasBorn(t *testing.T) {
+func TestWorkerThatFirstReportsItsStartTime(t *testing.T) {
 	x := newRestartCore(t)
-	x.life = "w"
+	x.incarnation = "w"
 	x.core = sureCore(Params{RecoveryWait: 10 * time.Second}, 1, x.now)
 	x.listWorkers()
 	x.pollAll(nil)
 	starts := x.submit(1, 2, true)
 	x.answer(starts)
 	x.pollAll(rowsOf(starts))
-	x.life = LifeID("w", bornFirst)
+	x.incarnation = IncarnationID("w", bornFirst)
 	for range 4 {
 		x.pollAll(rowsOf(starts))
 		x.listWorkers()
@@ -295,7 +295,7 @@
 // TestEndsAreAcknowledgedToTheirIncarnation: a poll that acknowledges ends could make the next
 // incarnation forget its own ends unread, and their tasks would start again. So no poll acknowledges
 // ends while a start may be carried out by the next incarnation.
-func TestEndsAreAcknowledgedOfTheLifeThatListedThem(t *testing.T) {
+func TestEndsAreAcknowledgedToTheirIncarnation(t *testing.T) {
 	x := newRestartCore(t)
 	starts := x.submit(1, 4, false)
 	x.answer(starts)
@@ -323,13 +323,13 @@
 
 // TestWorkersWithoutAStartTimeAreServed: workers that report no start time get acknowledgements at
 // once, since they refuse an order meant for another incarnation.
-func TestWorkersThatTellNoBirthAreServedAsBefore(t *testing.T) {
+func TestWorkersWithoutAStartTimeAreServed(t *testing.T) {
 	x := newRestartCore(t)
-	x.life = "w"
+	x.incarnation = "w"
 	x.core = sureCore(Params{}, 1, x.now)
 	x.listWorkers()
 	x.pollAll(nil)
-	x.doneBefore(3)
+	x.finishTasks(3)
 	starts := x.submit(2, 1, false)
 	x.answer(starts)
 	for _, o := range x.pollAll(rowsOf(starts)) {
@@ -342,7 +342,7 @@
 // TestOrdersToThePreviousIncarnationAreFenced: calls name only a worker's id, and deadlines mean
 // another time on the next incarnation's clock. So what was sent before an incarnation was known has
 // a lower token than what it has answered, and the refusal of such an order proves no other owner.
-func TestOrdersOfTheLifeBeforeAreFenced(t *testing.T) {
+func TestOrdersToThePreviousIncarnationAreFenced(t *testing.T) {
 	x := newRestartCore(t)
 	starts := x.submit(1, 1, false)
 	x.restart()
@@ -355,7 +355,7 @@
 	if x.core.Deposed() {
 		t.Error("the refusal of this owner's own order ended the term")
 	}
-	order := x.core.PlanHold(x.life, x.now).Order
+	order := x.core.PlanHold(x.incarnation, x.now).Order
 	x.core.HoldDone(order, HoldReply{}, OutcomeFenced, x.now)
 	if !x.core.Deposed() {
 		t.Error("a higher term did not end this one")
@@ -367,7 +367,7 @@
 func TestTermEndsBeforeItsTokens(t *testing.T) {
 	x := newRestartCore(t)
 	for n := int64(1); !x.core.Deposed(); n++ {
-		x.life = LifeID("w", bornFirst+n)
+		x.incarnation = IncarnationID("w", bornFirst+n)
 		x.listWorkers()
 		for _, o := range x.pollAll(nil) {
 			if o.Token >= x.core.Term()+TokensPerTerm {
@@ -383,7 +383,7 @@
 // TestAcknowledgementThatTheNextIncarnationMayHaveTaken: an incarnation that may have received an
 // acknowledgement meant for the previous one gets no tasks: it may forget as many of its own ends
 // before they are read.
-func TestAcknowledgementThatTheNextLifeMayHaveTaken(t *testing.T) {
+func TestAcknowledgementThatTheNextIncarnationMayHaveTaken(t *testing.T) {
 	for _, answered := range []bool{false, true} { // whether the next incarnation answers the poll that acknowledges
 		x := newRestartCore(t)
 		starts := x.submit(1, 2, false)
@@ -391,13 +391,13 @@
 		x.pollAll(rowsOf(starts))
 		x.pollAll(nil, endsOf(starts)...)
 		x.persist()
-		order := x.core.PlanHold(x.life, x.now).Order
+		order := x.core.PlanHold(x.incarnation, x.now).Order
 		if order.Seen != 2 || order.Wait != 0 {
 			t.Fatalf("ends are acknowledged by %+v, want in a poll that does not wait", order)
 		}
 		x.restart()
 		if answered {
-			x.core.HoldDone(order, HoldReply{ClockMS: x.clock, Born: x.life.Born()}, OutcomeOK, x.now)
+			x.core.HoldDone(order, HoldReply{ClockMS: x.clock, Born: x.incarnation.Born()}, OutcomeOK, x.now)
 		} else {
 			x.core.HoldDone(order, HoldReply{}, OutcomeBroken, x.now)
 		}
@@ -418,7 +418,7 @@
 // the next one, where its deadline, read on another clock, is only limited to the longest lease. So
 // while the worker is silent, the task waits longer than the leases of the known incarnation; runs
 // that this one has listed end with these leases.
-func TestLeasesOfALifeThatWasNotHeardOf(t *testing.T) {
+func TestLeasesOfAnUnknownIncarnation(t *testing.T) {
 	x := newRestartCore(t)
 	listed := x.submit(1, 1, false)
 	x.answer(listed)
@@ -454,10 +454,10 @@
 // TestOwnerThatMayBeReplacedNeedsFreshAnswers: once another owner may be active, an incarnation
 // that has started since the newest answer would carry out a start of this owner, of which the
 // other owner has no record.
-func TestOwnerThatMayBeReplacedTrustsInFreshAnswersOnly(t *testing.T) {
-	for _, id := range []WorkerID{LifeID("w", bornFirst), "w"} {
+func TestOwnerThatMayBeReplacedNeedsFreshAnswers(t *testing.T) {
+	for _, id := range []WorkerID{IncarnationID("w", bornFirst), "w"} {
 		x := newRestartCore(t)
-		x.life = id
+		x.incarnation = id
 		x.core = sureCore(Params{}, 1, x.now)
 		x.listWorkers()
 		x.pollAll(nil)
--- a/dispatch/room_test.go
+++ b/dispatch/room_test.go
@@ -17,7 +17,7 @@
 
 func newRoomFleet(t *testing.T, unguarded bool) *roomFleet {
 	t.Helper()
-	f := &roomFleet{now: Instant{Steady: time.Second}, info: lifeInfo("w1", "m1")}
+	f := &roomFleet{now: Instant{Steady: time.Second}, info: testWorkerInfo("w1", "m1")}
 	f.info.CPUMilli = 4000
 	f.core = sureCore(Params{RoomNotice: 3 * time.Second}, 1, f.now)
 	f.core.SetConfig(&job.Config{Version: 2, Queues: []job.Queue{{Name: "q", Service: "svc", Stretch: 2, TargetLatency: time.Second, RoomUnguarded: unguarded}}})
--- a/dispatch/roster.go
+++ b/dispatch/roster.go
@@ -182,7 +182,7 @@
 		e := c.roster.entries[id]
 		if _, waits := c.unresolved[id]; e.Closed && !waits {
 			w := c.workers[id]
-			e.Tasks, e.Young = w.tasksAt(), c.youngForRoster(w)
+			e.Tasks, e.Young = w.tasksAt(), c.recentRunsForRoster(w)
 		}
 		if !e.Closed {
 			part.open = append(part.open, id)
@@ -217,7 +217,7 @@
 	var list []RosterEntry
 	err := json.Unmarshal(part.Value, &list)
 	for i, e := range list {
-		list[i].ID, list[i].part = LifeID(string(e.ID), e.Born), part.Number
+		list[i].ID, list[i].part = IncarnationID(string(e.ID), e.Born), part.Number
 	}
 	return list, err
 }
--- a/dispatch/rostertwice_test.go
+++ b/dispatch/rostertwice_test.go
@@ -31,8 +31,8 @@
 			for i := range x.entries {
 				x.entries[i].part = i
 			}
-			core := livesCore(now, append(slices.Clone(x.entries), RosterEntry{ID: "w2", VM: "m2", part: len(x.entries)})...)
-			core.SetWorkers([]WorkerInfo{lifeInfo("w1", "m1"), lifeInfo("w2", "m2")}, now)
+			core := recoveredCore(now, append(slices.Clone(x.entries), RosterEntry{ID: "w2", VM: "m2", part: len(x.entries)})...)
+			core.SetWorkers([]WorkerInfo{testWorkerInfo("w1", "m1"), testWorkerInfo("w2", "m2")}, now)
 			core.AddJob(simpleJob(1, 3), nil, true, now)
 			rosterOf(t, core)
 			poll(core, "w2", now.Steady, now.Steady+time.Millisecond)
--- a/dispatch/sameid_test.go
+++ b/dispatch/sameid_test.go
@@ -44,7 +44,7 @@
 // TestNewJobIsReceivedBeforeTheRemoval: a job that is submitted under the id of an ended one is
 // accepted, even if its record is received before the answer to the removal. Otherwise it would
 // stay queued, although accepted, for as long as the owner runs.
-func TestNewJobIsHeardOfBeforeTheRemoval(t *testing.T) {
+func TestNewJobIsReceivedBeforeTheRemoval(t *testing.T) {
 	core, now := endedCore(t)
 	spec := simpleJob(1, 1)
 	core.AddRecordedJob(spec, 71, now)
--- a/dispatch/silence.go
+++ b/dispatch/silence.go
@@ -41,7 +41,7 @@
 	if len(expired) == 0 {
 		return
 	}
-	l := c.lifeOf(w, now)
+	l := c.lostIncarnationOf(w, now)
 	c.loseAll(w, expired, "its leases are over", now)
 	if c.lostLives[w.info.VM].id != w.info.ID { // else it holds these runs already
 		c.keepUnsettled(w.info.VM, l)
@@ -84,11 +84,11 @@
 		w.overReason = reason
 		return
 	}
-	next := c.namesake(w)
-	end := c.howEnded(w, now)
+	next := c.successor(w)
+	end := c.classifyEnd(w, now)
 	l, hadRuns := c.lostWith(w, next, now)
 	if next != nil {
-		c.inherit(w, next)
+		c.transferRuns(w, next)
 	}
 	c.lose(w, reason, now)
 	if hadRuns && l.busy && w.info.VM != "" {
@@ -99,28 +99,28 @@
 	case l.end == endCrashed:
 		c.countCrashes(w.info.VM, l, now)
 	default:
-		c.noteUnclearEnd(l, now)
+		c.recordInconclusiveEnd(l, now)
 	}
-	c.settleStartsOfLife(w, next, end, now)
+	c.settleStartsOfIncarnation(w, next, end, now)
 	c.resolve(w.info.ID, reason, now)
 	c.forget(w, reason)
 	c.over[w.info.ID] = true
 }
 
 // lostWith returns what is remembered of an ended incarnation, if it had runs.
-func (c *Core) lostWith(w, next *worker, now Instant) (l lostLife, hadRuns bool) {
+func (c *Core) lostWith(w, next *worker, now Instant) (l lostIncarnation, hadRuns bool) {
 	lost, unsettled := c.lostLives[w.info.VM]
 	switch {
 	case next != nil && w.info.ID.Born() == 0:
-		return lostLife{}, false // it may be the incarnation that answers now, of which more is known
+		return lostIncarnation{}, false // it may be the incarnation that answers now, of which more is known
 	case len(w.attempts) > 0 && w.heardAt > 0:
-		l = c.lifeOf(w, now)
-		c.tellEnded(w, l.end, w.youngRuns(), now)
+		l = c.lostIncarnationOf(w, now)
+		c.logIncarnationEnd(w, l.end, w.recentRuns(), now)
 		return l, true
 	case len(w.attempts) == 0 && unsettled && lost.id == w.info.ID:
 		return c.dropUnsettled(w.info.VM)
 	default:
-		return lostLife{}, false
+		return lostIncarnation{}, false
 	}
 }
 
@@ -129,10 +129,10 @@
 // at a time, and an ended one does not return. An incarnation that became known later may have
 // followed this one while its answer was in flight.
 func (c *Core) endOtherLives(w *worker, now Instant) {
-	if len(c.lives[w.info.VM]) < 2 && len(c.names[w.info.ID.Name()].lives) < 2 {
+	if len(c.lives[w.info.VM]) < 2 && len(c.names[w.info.ID.Name()].incarnations) < 2 {
 		return
 	}
-	for _, other := range c.otherLives(w) {
+	for _, other := range c.otherIncarnations(w) {
 		if other.knownAt >= w.holdSent || other.lastAnswer >= w.holdSent {
 			continue
 		}
@@ -144,7 +144,7 @@
 	delete(c.workers, w.info.ID)
 	delete(c.unstoredEnds, w)
 	c.reach.without(w)
-	c.leaveName(w)
+	c.removeFromName(w)
 	c.leave(w)
 	w.listed = false // for what still refers to the worker
 	c.lives[w.info.VM] = slices.DeleteFunc(c.lives[w.info.VM], func(o *worker) bool { return o == w })
--- a/dispatch/silentend_test.go
+++ b/dispatch/silentend_test.go
@@ -44,7 +44,7 @@
 // vmOf returns the VM whose worker has a run of a task.
 func (f *crashFleet) vmOf(id job.TaskID) string {
 	for _, vm := range f.vms {
-		if _, ok := f.running[f.life[vm]][id]; ok {
+		if _, ok := f.running[f.incarnation[vm]][id]; ok {
 			return vm
 		}
 	}
@@ -55,7 +55,7 @@
 // vmInAnotherRack returns a VM that has tasks and shares no rack with the given one.
 func (f *crashFleet) vmInAnotherRack(vm string) string {
 	for _, other := range f.vms {
-		if f.info(other).Rack != f.info(vm).Rack && f.down[other] == 0 && len(f.running[f.life[other]]) > 0 {
+		if f.info(other).Rack != f.info(vm).Rack && f.down[other] == 0 && len(f.running[f.incarnation[other]]) > 0 {
 			return other
 		}
 	}
--- a/dispatch/sim_restart_test.go
+++ b/dispatch/sim_restart_test.go
@@ -138,7 +138,7 @@
 	if s.rng.IntN(4) == 0 {
 		born -= s.within(mostJumpBack).Milliseconds()
 	}
-	w.info.ID = LifeID(fmt.Sprintf("w-%s", w.info.VM), born)
+	w.info.ID = IncarnationID(fmt.Sprintf("w-%s", w.info.VM), born)
 	if s.now > 0 && s.rng.IntN(2) == 0 {
 		w.offset = 1
 	}
@@ -230,7 +230,7 @@
 		{"what the previous owner left at a life is not handed on to the next", restartsOfAll, func(s *sim) {
 			s.unguardLives = func(c *Core) {
 				for id := range c.unresolved {
-					if len(c.names[id.Name()].lives) > 1 {
+					if len(c.names[id.Name()].incarnations) > 1 {
 						c.resolve(id, "another life answers", s.instant())
 					}
 				}
--- a/dispatch/sim_test.go
+++ b/dispatch/sim_test.go
@@ -224,7 +224,7 @@
 	}
 	o.core.Recover(list, s.instant())
 	if s.unheard != nil {
-		if err := o.core.TakeUnheard(s.unheard); err != nil {
+		if err := o.core.RecoverUnread(s.unheard); err != nil {
 			panic(err)
 		}
 	}
@@ -339,7 +339,7 @@
 	if err != nil {
 		panic(err)
 	}
-	unheard, err := o.core.Unheard()
+	unheard, err := o.core.Unread()
 	if err != nil {
 		panic(err)
 	}
@@ -364,7 +364,7 @@
 				if !o.dead {
 					o.core.Persisted(records)
 					o.core.RosterStored(roster)
-					o.core.UnheardStored(unheard)
+					o.core.UnreadStored(unheard)
 				}
 			})
 			return
--- a/dispatch/speed_test.go
+++ b/dispatch/speed_test.go
@@ -133,9 +133,9 @@
 func TestSlowWorkersServeWhatHasNoOtherPlace(t *testing.T) {
 	now := Instant{Steady: time.Minute}
 	core := sureCore(Params{}, 1, now)
-	slow := core.addWorker(lifeInfo("slow", "m1"), now)
+	slow := core.addWorker(testWorkerInfo("slow", "m1"), now)
 	slow.slowUntil = now.Steady + slowPause
-	sound := core.addWorker(lifeInfo("sound", "m2"), now)
+	sound := core.addWorker(testWorkerInfo("sound", "m2"), now)
 	choose := func(step job.Step, idle time.Duration, pool ...*worker) *worker {
 		j := &jobState{spec: simpleJob(1, 1), idleSince: now.Steady - idle}
 		s := &stepRun{job: j, spec: &step}
--- a/dispatch/startrecord.go
+++ b/dispatch/startrecord.go
@@ -14,8 +14,8 @@
 	task *task
 	run  uint64
 	// ended is set if the incarnation that was sent the start has ended; end is how.
-	over bool
-	end  lifeEnd
+	ended bool
+	end   incarnationEnd
 }
 
 // recordStart records the start of a task that may crash its worker, so that the next owner
@@ -38,7 +38,7 @@
 }
 
 // HasUnsentStarts reports whether starts wait for the store.
-func (c *Core) StartsWait() bool { return len(c.unsentStarts) > 0 }
+func (c *Core) HasUnsentStarts() bool { return len(c.unsentStarts) > 0 }
 
 // sendRecorded sends the starts that the store holds by now. One that has waited longer than
 // startWindow, or whose worker gets no more starts, is released.
@@ -73,7 +73,7 @@
 }
 
 // recoverStarts applies the starts that a previous owner recorded.
-func (c *Core) takeStarts(j *jobState, now Instant) {
+func (c *Core) recoverStarts(j *jobState, now Instant) {
 	if len(j.progress.Starts) == 0 {
 		return
 	}
@@ -83,13 +83,13 @@
 				continue
 			}
 			for _, start := range j.progress.Starts[t.id().FailureKey()] {
-				c.takeStart(t, start, now)
+				c.recoverStart(t, start, now)
 			}
 		}
 	}
 }
 
-func (c *Core) takeStart(t *task, start job.Start, now Instant) {
+func (c *Core) recoverStart(t *task, start job.Start, now Instant) {
 	id := WorkerID(start.Worker)
 	r := recordedStart{task: t, run: start.Run, end: endSilent}
 	switch w := c.workers[id]; {
@@ -98,7 +98,7 @@
 	case w != nil && w.synced:
 		c.settleStart(w.info.ID, r, now)
 	default:
-		r.over = true // the previous owner has dropped the incarnation
+		r.ended = true // the previous owner has dropped the incarnation
 		c.settleStart(id, r, now)
 	}
 }
@@ -106,13 +106,13 @@
 // settleStartsOfIncarnation settles the starts that a previous owner sent to an incarnation
 // that has ended. Those that the next incarnation under its id may have carried out wait for
 // its lists.
-func (c *Core) settleStartsOfLife(w, next *worker, end lifeEnd, now Instant) {
+func (c *Core) settleStartsOfIncarnation(w, next *worker, end incarnationEnd, now Instant) {
 	id := w.info.ID
 	list := c.recordedStarts[id]
 	delete(c.recordedStarts, id)
 	for _, r := range list {
-		if !r.over {
-			r.over, r.end = true, end
+		if !r.ended {
+			r.ended, r.end = true, end
 		}
 		if next != nil && !next.synced {
 			c.recordedStarts[next.info.ID] = append(c.recordedStarts[next.info.ID], r)
@@ -128,8 +128,8 @@
 	delete(c.recordedStarts, id)
 	w := c.workers[id]
 	for _, r := range list {
-		if !r.over && (w == nil || !w.synced) {
-			r.over = true // its leases have expired
+		if !r.ended && (w == nil || !w.synced) {
+			r.ended = true // its leases have expired
 		}
 		c.settleStart(id, r, now)
 	}
@@ -143,14 +143,14 @@
 		return
 	}
 	t.lastStartKnown = true
-	l := lostLife{id: id, end: r.end, loss: contactLoss{since: now.Steady}, inherited: true, runs: []LostRun{{Task: t.id().String(), Run: r.run}}, at: now.Steady}
+	l := lostIncarnation{id: id, end: r.end, loss: contactLoss{since: now.Steady}, inherited: true, runs: []LostRun{{Task: t.id().String(), Run: r.run}}, at: now.Steady}
 	switch {
-	case !r.over:
+	case !r.ended:
 		c.dropStarts(t, r.run)
 	case r.end == endCrashed:
 		c.countCrash("", l, l.runs[0], now)
 	default:
-		c.noteUnclearEnd(l, now)
+		c.recordInconclusiveEnd(l, now)
 	}
 }
 
--- a/dispatch/suspect.go
+++ b/dispatch/suspect.go
@@ -13,11 +13,11 @@
 	// came while the task was on trial, and isolatedLimit of them were isolated, the last among
 	// them. Workers also crash for other reasons, up to 15% of them at once: lower limits would
 	// give up tasks that only were at such workers.
-	crashLimit = 3
-	aloneLimit = 2
+	crashLimit    = 3
+	isolatedLimit = 2
 	// maxCrashes in a row, crashLimit of them not inconclusive, a task is given up whatever
 	// else crashes: users allow two starts after the third crash.
-	mostCrashes = 5
+	maxCrashes = 5
 )
 
 // suspect returns the task that holds the crash counts of a task: itself, or the first
@@ -31,14 +31,14 @@
 
 // suspectedCrashes returns how many workers in a row may have crashed when the task was
 // started: known crashes, and runs whose worker's fate is unsettled.
-func (t *task) suspicion() int {
+func (t *task) suspectedCrashes() int {
 	t = t.suspect()
 	return t.crashes + t.unsettled
 }
 
 // setSuspectedCrashes sets the number of known crashes of a suspect and of its unsettled
 // runs, and maintains the counts of suspects.
-func (c *Core) setSuspicion(t *task, crashes, unsettled int) {
+func (c *Core) setSuspectedCrashes(t *task, crashes, unsettled int) {
 	before := t.crashes+t.unsettled > 0
 	t.crashes, t.unsettled = crashes, max(unsettled, 0)
 	after := t.crashes+t.unsettled > 0
@@ -56,13 +56,13 @@
 // setCrashes sets the number of known crashes of a suspect, and delays its next start
 // until the store holds that number.
 func (c *Core) setCrashes(t *task, n int) {
-	c.setSuspicion(t, n, t.unsettled)
+	c.setSuspectedCrashes(t, n, t.unsettled)
 	t.crashVersion = t.step.job.version
 }
 
 // suspectByName returns the suspect of the task with this name, nil if it has ended
 // or is unknown.
-func (c *Core) suspectNamed(name string) *task {
+func (c *Core) suspectByName(name string) *task {
 	id, err := job.ParseTaskID(name)
 	if err != nil {
 		return nil // written by something else; the roster's other entries stay valid
@@ -76,7 +76,7 @@
 
 // countCrashes counts a worker's crash for the tasks that may have caused it. If some of
 // them are on trial, it counts for these only.
-func (c *Core) countCrashes(vm string, l lostLife, now Instant) {
+func (c *Core) countCrashes(vm string, l lostIncarnation, now Instant) {
 	trial := slices.ContainsFunc(l.runs, func(r LostRun) bool { return r.Trial })
 	if vm != "" && l.busy {
 		c.crashed[vm] = crashRecord{at: l.loss.since, tasks: l.taskNames()}
@@ -91,20 +91,20 @@
 
 // countCrash counts a crash for one task, and gives the task up if it has reached its
 // limit of crashes.
-func (c *Core) countCrash(vm string, l lostLife, r LostRun, now Instant) {
-	t := c.suspectNamed(r.Task)
+func (c *Core) countCrash(vm string, l lostIncarnation, r LostRun, now Instant) {
+	t := c.suspectByName(r.Task)
 	if t != nil && l.inherited {
 		t.lastStartKnown = true
 	}
-	if t == nil || !t.step.job.progress.CountCrash(t.id(), job.Crash{Run: r.Run, Unsure: r.unsure()}) {
+	if t == nil || !t.step.job.progress.CountCrash(t.id(), job.Crash{Run: r.Run, Unsure: r.inconclusive()}) {
 		return
 	}
 	j := t.step.job
 	j.progress.DropStarts(t.id(), r.Run)
 	for _, run := range t.doubts {
-		c.countUnsure(t, run, "it may have been started where a worker was lost before")
+		c.countInconclusive(t, run, "it may have been started where a worker was lost before")
 	}
-	c.setDoubts(t, nil)
+	c.setPossibleCrashes(t, nil)
 	c.touch(j)
 	n := j.progress.CrashCount(t.id())
 	c.setCrashes(t, n.All)
@@ -112,8 +112,8 @@
 	d.Worker = l.id
 	d.Detail = fmt.Sprintf("on trial %v, another run began later %v, unconfirmed %v", r.Trial, r.Older, r.Unconfirmed)
 	c.trace(d)
-	if !r.unsure() {
-		c.compareLater(t, vm, l, r)
+	if !r.inconclusive() {
+		c.scheduleComparison(t, vm, l, r)
 	}
 	c.giveUpIfCrasher(t, false, now)
 }
@@ -124,16 +124,16 @@
 func (c *Core) giveUpIfCrasher(t *task, proof bool, now Instant) {
 	j := t.step.job
 	n := j.progress.CrashCount(t.id())
-	if n.Sure < crashLimit || n.All < mostCrashes && !(proof && n.Alone >= aloneLimit) {
+	if n.Sure < crashLimit || n.All < maxCrashes && !(proof && n.Alone >= isolatedLimit) {
 		return
 	}
 	c.stats.CrashersGivenUp++
-	c.explainCrashes(t)
+	c.markExplained(t)
 	c.setFinal(j, job.Failed, fmt.Sprintf("task %s: %d workers in a row crashed when it was started", t.id(), n.Sure), now)
 }
 
 // countInconclusive counts a start of a suspect that may have crashed its worker.
-func (c *Core) countUnsure(t *task, run uint64, reason string) {
+func (c *Core) countInconclusive(t *task, run uint64, reason string) {
 	j := t.step.job
 	if !j.progress.CountCrash(t.id(), job.Crash{Run: run, Unsure: true}) {
 		return
@@ -146,11 +146,11 @@
 // clearSuspicion ends the suspicion of a task: a run has outlived its start, or reported its
 // end. An end that is reported late may be that of a run before the crashes, and proves
 // nothing about them.
-func (c *Core) cleared(t *task, run uint64, reason string) {
+func (c *Core) clearSuspicion(t *task, run uint64, reason string) {
 	t = t.suspect()
 	progress := &t.step.job.progress
 	if !slices.ContainsFunc(t.doubts, func(d uint64) bool { return d > run }) {
-		c.setDoubts(t, nil)
+		c.setPossibleCrashes(t, nil)
 	}
 	if t.crashes == 0 || run < progress.NewestCrash(t.id()) {
 		return
@@ -162,40 +162,40 @@
 }
 
 // clearIfOutlived clears a suspect whose run still works startCrashWindow after its start.
-func (c *Core) noteOutlived(a *attempt, now Instant) {
-	if now.Steady-a.started < youngAtCrash {
+func (c *Core) clearIfOutlived(a *attempt, now Instant) {
+	if now.Steady-a.started < startCrashWindow {
 		return
 	}
 	t := a.task.suspect()
 	c.dropStarts(t, a.run)
 	if t.crashes > 0 || len(t.doubts) > 0 {
-		c.cleared(t, a.run, "its run has outlived its start")
+		c.clearSuspicion(t, a.run, "its run has outlived its start")
 	}
 }
 
 // isLastStart reports whether one more crash ends a suspect's job, whatever else crashes.
-func (c *Core) lastStart(t *task) bool {
+func (c *Core) isLastStart(t *task) bool {
 	n := t.step.job.progress.CrashCount(t.id())
-	return n.All+1 >= mostCrashes && n.Sure+1 >= crashLimit
+	return n.All+1 >= maxCrashes && n.Sure+1 >= crashLimit
 }
 
 // suspectWaitReason returns why a suspect is not started yet, or nothing. The store must
 // hold its crashes, so that the next owner has them, and while too many runs are unsettled
 // these may all have been crashes.
-func (c *Core) suspectWaits(t *task, now Instant) string {
+func (c *Core) suspectWaitReason(t *task, now Instant) string {
 	readySince := t.readySince
 	t = t.suspect()
-	spaced := now.Steady-readySince < starvedAfter || c.lastStart(t) // several have waited for the same crashes
+	spaced := now.Steady-readySince < starvedAfter || c.isLastStart(t) // several have waited for the same crashes
 	switch {
 	case t.crashes > 0 && t.step.job.persisted < t.crashVersion:
 		return "the store to hold what is known of its crashes"
-	case t.unsettled > 0 && t.suspicion() >= mostCrashes:
+	case t.unsettled > 0 && t.suspectedCrashes() >= maxCrashes:
 		return "the VMs of its last runs to answer"
-	case t.suspicion() >= crashLimit && now.Steady < t.comparedAt:
+	case t.suspectedCrashes() >= crashLimit && now.Steady < t.comparedAt:
 		return "its newest crash to be told apart from others"
-	case c.lastStart(t) && now.Steady-readySince < calmPatience && !c.calmNow(t, now):
+	case c.isLastStart(t) && now.Steady-readySince < lowCrashRateWait && !c.lowCrashRateNow(t, now):
 		return "other workers to stop crashing"
-	case t.suspicion() >= trialCrashes && spaced && now.Steady < c.nextTrial:
+	case t.suspectedCrashes() >= trialCrashes && spaced && now.Steady < c.nextTrial:
 		return "another task on trial to outlive its start"
 	default:
 		return ""
--- a/dispatch/suspect_test.go
+++ b/dispatch/suspect_test.go
@@ -34,7 +34,7 @@
 }
 
 // firstTaskOf returns a function that reports whether a task is the first one of a job.
-func crashesOf(spec *job.Spec) func(job.TaskID) bool {
+func firstTaskOf(spec *job.Spec) func(job.TaskID) bool {
 	return func(id job.TaskID) bool { return id.Job == spec.ID && id.Index == 0 }
 }
 
@@ -73,7 +73,7 @@
 		t.Run(kind, func(t *testing.T) {
 			f := newCrashFleet(t, 12)
 			bad, good, longRunning := crashingJob(1, kind), simpleJob(2, 24), crashingJob(3, "lasting")
-			f.crasher = crashesOf(bad)
+			f.crasher = firstTaskOf(bad)
 			f.core.AddJob(good, nil, false, f.now)
 			f.core.AddJob(longRunning, nil, false, f.now)
 			f.pass(time.Second)
@@ -92,7 +92,7 @@
 
 // TestManyCrashersAreDistinguished: several tasks that crash their workers at once, including some
 // that were started together, are all given up after a few workers each, and no other task is.
-func TestManyCrashersAreToldApart(t *testing.T) {
+func TestManyCrashersAreDistinguished(t *testing.T) {
 	f := newCrashFleet(t, 24)
 	good := simpleJob(50, 100)
 	f.core.AddJob(good, nil, false, f.now)
@@ -107,7 +107,7 @@
 	for _, spec := range bad {
 		f.checkGivenUp(spec, good)
 	}
-	if n := f.crashed(); n > len(bad)*mostCrashes {
+	if n := f.crashed(); n > len(bad)*maxCrashes {
 		t.Errorf("%d workers have crashed under %d tasks", n, len(bad))
 	}
 }
@@ -121,7 +121,7 @@
 		t.Run(name, func(t *testing.T) {
 			f := newCrashFleet(t, 12)
 			bad, good := simpleJob(1, 1), simpleJob(2, 24)
-			f.crasher = crashesOf(bad)
+			f.crasher = firstTaskOf(bad)
 			f.core.AddJob(good, nil, false, f.now)
 			f.core.AddJob(bad, nil, false, f.now)
 			for seen := 0; f.now.Steady < 120*time.Second && f.state(bad) != job.Failed; {
@@ -144,10 +144,10 @@
 // of the crash, and the next owner must not allow maxCrashes further ones: an owner killed 66 ms after
 // the first crash led to five more. Another worker crashes at each later crash, so that none is
 // isolated and maxCrashes ends the job.
-func TestCrashInTheMomentOfATakeover(t *testing.T) {
+func TestCrashDuringTakeover(t *testing.T) {
 	f := newCrashFleet(t, 24)
 	bad, good := simpleJob(1, 1), simpleJob(2, 24)
-	f.crasher = crashesOf(bad)
+	f.crasher = firstTaskOf(bad)
 	f.core.AddJob(good, nil, false, f.now)
 	f.pass(8 * time.Second)
 	f.core.AddJob(bad, nil, false, f.now)
@@ -176,7 +176,7 @@
 func TestStartOfASuspectWaitsForTheStore(t *testing.T) {
 	f := newCrashFleet(t, 12)
 	bad := simpleJob(1, 1)
-	f.crasher = crashesOf(bad)
+	f.crasher = firstTaskOf(bad)
 	f.core.AddJob(bad, nil, false, f.now)
 	f.pass(time.Second)
 	f.storeDown = true
@@ -201,7 +201,7 @@
 			f := newCrashFleet(t, 12)
 			bad, good := simpleJob(1, 1), simpleJob(2, 24)
 			f.crashDown = downFor
-			f.crasher = crashesOf(bad)
+			f.crasher = firstTaskOf(bad)
 			f.core.AddJob(good, nil, false, f.now)
 			f.core.AddJob(bad, nil, false, f.now)
 			f.pass(150 * time.Second)
@@ -253,7 +253,7 @@
 			for range 6 {
 				f.pass(time.Second)
 				if f.state(spec) != job.Running {
-					t.Fatalf("the job is %s: %v", f.state(spec), f.told("task_suspected"))
+					t.Fatalf("the job is %s: %v", f.state(spec), f.decisionsOf("task_suspected"))
 				}
 				w := f.core.jobs[spec.ID].steps[0].tasks[0].attempt
 				if w == nil {
@@ -303,13 +303,13 @@
 		f.pass(20 * time.Second)
 		for _, spec := range specs {
 			if s := f.state(spec); s != job.Running {
-				t.Errorf("seed %d: job %s is %s: %v", seed, spec.ID, s, f.told("job_failed"))
+				t.Errorf("seed %d: job %s is %s: %v", seed, spec.ID, s, f.decisionsOf("job_failed"))
 			}
 		}
 		if n := f.core.Suspects(); n > 0 {
 			t.Errorf("seed %d: %d tasks are still suspected 20 s after the last crash", seed, n)
 		}
-		if n := len(f.told("task_suspected")); n < 20 {
+		if n := len(f.decisionsOf("task_suspected")); n < 20 {
 			t.Errorf("seed %d: only %d suspicions", seed, n)
 		}
 	}
@@ -376,12 +376,12 @@
 		f.core.release(x.attempt, f.now)
 	}
 	f.running = map[WorkerID]map[job.TaskID]uint64{}
-	for _, id := range f.life {
+	for _, id := range f.incarnation {
 		f.running[id] = map[job.TaskID]uint64{}
 	}
 	f.core.AddJob(simpleJob(2, 60), nil, false, f.now)
-	f.pass(betweenTrials + 300*time.Millisecond)
-	if apart := tasks[1].attempt.placedAt - tasks[0].attempt.placedAt; apart.Abs() < betweenTrials {
+	f.pass(trialInterval + 300*time.Millisecond)
+	if apart := tasks[1].attempt.placedAt - tasks[0].attempt.placedAt; apart.Abs() < trialInterval {
 		t.Errorf("tasks on trial were started %v apart", apart)
 	}
 	at := map[WorkerID]int{}
@@ -408,11 +408,11 @@
 }
 
 // TestRosterKeepsRecentRuns: roster entries with task names that are invalid or unknown are harmless.
-func TestRosterKeepsYoungRuns(t *testing.T) {
+func TestRosterKeepsRecentRuns(t *testing.T) {
 	now := Instant{Steady: time.Second}
 	entry := RosterEntry{ID: "old", Address: "old", VM: "m1", Closed: true, Tasks: []string{"x"}, Young: []LostRun{{Task: "x", Run: 1}, {Task: fmt.Sprintf("%016x.0.0.9", 1), Run: 2}}}
-	core := livesCore(now, entry)
-	core.SetWorkers([]WorkerInfo{lifeInfo("new", "m1")}, now)
+	core := recoveredCore(now, entry)
+	core.SetWorkers([]WorkerInfo{testWorkerInfo("new", "m1")}, now)
 	core.AddJob(simpleJob(1, 1), nil, true, now)
 	poll(core, "new", 1100*time.Millisecond, 1110*time.Millisecond)
 	if n := core.Recovering(); n != 0 {
--- a/dispatch/trial.go
+++ b/dispatch/trial.go
@@ -14,13 +14,13 @@
 	trialTime = 2 * time.Second
 	// trialInterval is the time between starts of tasks on trial, so that their crashes
 	// don't appear simultaneous.
-	betweenTrials = 2 * sameMoment
+	trialInterval = 2 * simultaneousWindow
 	// recentStartWindow separates runs by their starts. A run started this much earlier
 	// than another one on its worker is less likely to have crashed it, and a task on
 	// trial beside a more recent run proves nothing.
-	justStarted = 500 * time.Millisecond
+	recentStartWindow = 500 * time.Millisecond
 	// suspectRetryInterval is the time before a step is tried again whose suspect no worker takes.
-	apartRetry = 100 * time.Millisecond
+	suspectRetryInterval = 100 * time.Millisecond
 	// trialCrashes is the number of crashes from which a suspect is on trial.
 	trialCrashes = crashLimit - 1
 )
@@ -28,17 +28,17 @@
 // suspectFreePool holds the workers of a pool where no suspect was recently started, and the
 // racks where one was. A scheduling pass computes it once: with 600 suspects at 490 workers,
 // as after a wave of crashes, it is the main cost of their placement besides the choice itself.
-type apartPool struct {
+type suspectFreePool struct {
 	workers []*worker
 	racks   map[string]bool
 }
 
 // suspectFree returns the part of the pool without recently started suspects.
-func (p *pool) apart(now Instant) *apartPool {
+func (p *pool) suspectFree(now Instant) *suspectFreePool {
 	if p.withoutSuspects != nil {
 		return p.withoutSuspects
 	}
-	a := &apartPool{racks: map[string]bool{}}
+	a := &suspectFreePool{racks: map[string]bool{}}
 	for _, w := range p.workers {
 		if now.Steady >= w.suspectUntil {
 			a.workers = append(a.workers, w)
@@ -51,7 +51,7 @@
 }
 
 // exclude removes a worker where a suspect is started now.
-func (a *apartPool) take(w *worker) {
+func (a *suspectFreePool) exclude(w *worker) {
 	a.workers = slices.DeleteFunc(a.workers, func(o *worker) bool { return o == w })
 	a.racks[w.info.Rack] = true
 }
@@ -63,44 +63,44 @@
 		return
 	}
 	for _, t := range s.tasks {
-		if t.phase != phaseReady || t.suspicion() == 0 || now.Steady < t.notBefore || t.concluded && !c.certain(now) || c.suspectWaits(t, now) != "" {
+		if t.phase != phaseReady || t.suspectedCrashes() == 0 || now.Steady < t.notBefore || t.concluded && !c.certain(now) || c.suspectWaitReason(t, now) != "" {
 			continue
 		}
-		w, apart := c.placeApart(t, p, now)
+		w, apart := c.workerForSuspect(t, p, now)
 		if w == nil {
-			s.apartRetry = now.Steady + apartRetry
+			s.apartRetry = now.Steady + suspectRetryInterval
 			c.makeRoom(s, c.queues[s.job.spec.Queue].Priority, p.workers, now)
 			return
 		}
-		apart = apart && !w.startedLately(now)
+		apart = apart && !w.startedRecently(now)
 		c.place(t, w, c.newRun(), now)
-		c.tryApart(t, apart, now)
-		p.apart(now).take(w)
+		c.recordSuspectStart(t, apart, now)
+		p.suspectFree(now).exclude(w)
 	}
 }
 
 // workerForSuspect returns a worker for a suspect, and whether no other suspect was recently
 // started there. After starvedAfter it accepts any worker: a task that only was beside one
 // that crashed its worker must not wait for long.
-func (c *Core) placeApart(t *task, p *pool, now Instant) (w *worker, apart bool) {
-	free := p.apart(now)
+func (c *Core) workerForSuspect(t *task, p *pool, now Instant) (w *worker, apart bool) {
+	free := p.suspectFree(now)
 	v := c.viewOf(t.step, p, now)
-	if w := c.chooseFor(t, free.workers, free.racks, v, now); w != nil {
+	if w := c.bestForSuspect(t, free.workers, free.racks, v, now); w != nil {
 		return w, true
 	}
 	if now.Steady-t.readySince < starvedAfter {
 		return nil, true
 	}
-	return c.chooseFor(t, p.workers, free.racks, v, now), false
+	return c.bestForSuspect(t, p.workers, free.racks, v, now), false
 }
 
 // startedRecently reports whether a run was recently started at the worker.
-func (w *worker) startedLately(now Instant) bool {
-	return w.placedAt > 0 && now.Steady-w.placedAt < justStarted
+func (w *worker) startedRecently(now Instant) bool {
+	return w.placedAt > 0 && now.Steady-w.placedAt < recentStartWindow
 }
 
 // suspectRank orders workers for a suspect, the least first.
-type trialRank struct {
+type suspectRank struct {
 	// sameRack: another suspect was recently started in its rack. Several crashes in one
 	// rack look like the loss of the rack.
 	sameRack bool
@@ -108,33 +108,33 @@
 	crashed bool
 	// recentStart and runs are set for a task on trial only: whether a run was recently
 	// started there, and how many runs a crash would lose.
-	late bool
-	runs int
+	recentStart bool
+	runs        int
 	// score is that of the general choice of workers, higher is better.
 	score float64
 }
 
-func (r trialRank) compare(o trialRank) int {
+func (r suspectRank) compare(o suspectRank) int {
 	return cmp.Or(
 		cmp.Compare(boolRank(o.sameRack), boolRank(r.sameRack)), cmp.Compare(boolRank(o.crashed), boolRank(r.crashed)),
-		cmp.Compare(boolRank(o.late), boolRank(r.late)), cmp.Compare(r.runs, o.runs), cmp.Compare(o.score, r.score),
+		cmp.Compare(boolRank(o.recentStart), boolRank(r.recentStart)), cmp.Compare(r.runs, o.runs), cmp.Compare(o.score, r.score),
 	)
 }
 
 // bestForSuspect returns the best of the workers for a suspect, or nil.
-func (c *Core) chooseFor(t *task, workers []*worker, racks map[string]bool, v view, now Instant) *worker {
-	trial := t.suspicion() >= trialCrashes
+func (c *Core) bestForSuspect(t *task, workers []*worker, racks map[string]bool, v view, now Instant) *worker {
+	trial := t.suspectedCrashes() >= trialCrashes
 	var best *worker
-	var bestRank trialRank
+	var bestRank suspectRank
 	for _, w := range workers {
 		score, ok := c.rate(t.step, w, v, now)
 		if !ok || w.info.ID == t.avoid {
 			continue
 		}
 		_, crashed := c.crashed[w.info.VM]
-		rank := trialRank{sameRack: w.info.Rack != "" && racks[w.info.Rack], crashed: crashed, score: score}
+		rank := suspectRank{sameRack: w.info.Rack != "" && racks[w.info.Rack], crashed: crashed, score: score}
 		if trial {
-			rank.late, rank.runs = w.startedLately(now), len(w.attempts)
+			rank.recentStart, rank.runs = w.startedRecently(now), len(w.attempts)
 		}
 		if best == nil || rank.compare(bestRank) < 0 {
 			best, bestRank = w, rank
@@ -145,12 +145,12 @@
 
 // recordSuspectStart records that a suspect was just started. If it is on trial, its worker
 // takes no other tasks for trialTime.
-func (c *Core) tryApart(t *task, apart bool, now Instant) {
+func (c *Core) recordSuspectStart(t *task, apart bool, now Instant) {
 	w := t.attempt.worker
 	w.suspectUntil = now.Steady + trialTime
-	if t.suspicion() >= trialCrashes {
+	if t.suspectedCrashes() >= trialCrashes {
 		t.attempt.trial = apart
-		c.nextTrial = now.Steady + betweenTrials
+		c.nextTrial = now.Steady + trialInterval
 		w.fullUntil = max(w.fullUntil, now.Steady+trialTime)
 	}
 }
--- a/dispatch/unconfirmed_test.go
+++ b/dispatch/unconfirmed_test.go
@@ -46,7 +46,7 @@
 					}
 				}
 				if s := f.state(spec); s != job.Running {
-					t.Errorf("the job is %s: %v", s, f.told("task_suspected"))
+					t.Errorf("the job is %s: %v", s, f.decisionsOf("task_suspected"))
 				}
 				if len(lost) < lostStarts {
 					t.Errorf("only %d starts were lost", len(lost))
@@ -67,7 +67,7 @@
 	for _, sameID := range []bool{false, true} {
 		f := newCrashFleetOf(t, 12, sameID)
 		bad, good := simpleJob(1, 1), simpleJob(2, 24)
-		f.crasher = crashesOf(bad)
+		f.crasher = firstTaskOf(bad)
 		f.startFault = func(o Order) (bool, Outcome) {
 			if o.Task.Job == bad.ID {
 				return true, OutcomeBroken
--- a/dispatch/unheard.go
+++ b/dispatch/unheard.go
@@ -9,18 +9,18 @@
 
 // unreadTasks are the tasks that may have run at workers of the previous owner that were
 // lost before this owner read their lists.
-type unheardTasks struct {
+type unreadTasks struct {
 	any   bool // any task may have run at one of these workers
 	tasks map[string]bool
 }
 
 // unreadRecord is unreadTasks as stored.
-type unheardRecord struct {
+type unreadRecord struct {
 	Any   bool     `json:"any,omitempty"`
 	Tasks []string `json:"tasks,omitempty"`
 }
 
-func (l *unheardTasks) add(u unresolvedWorker) {
+func (l *unreadTasks) add(u unresolvedWorker) {
 	l.any = l.any || u.open
 	if l.tasks == nil {
 		l.tasks = map[string]bool{}
@@ -28,10 +28,10 @@
 	maps.Copy(l.tasks, u.tasks)
 }
 
-func (l *unheardTasks) none() bool { return !l.any && len(l.tasks) == 0 }
+func (l *unreadTasks) none() bool { return !l.any && len(l.tasks) == 0 }
 
 // has reports whether a suspect, or any task of the gang that it represents, may have run there.
-func (l *unheardTasks) has(t *task) bool {
+func (l *unreadTasks) has(t *task) bool {
 	if l.any || !t.step.spec.Gang {
 		return l.any || l.tasks[t.id().String()]
 	}
@@ -39,7 +39,7 @@
 }
 
 // recordUnreadLoss records what may have run at a worker that was lost before its lists were read.
-func (c *Core) noteUnheard(u unresolvedWorker) {
+func (c *Core) recordUnreadLoss(u unresolvedWorker) {
 	c.lostInTerm.add(u)
 	c.lostUnheard.add(u)
 	c.unheardStale = true
@@ -48,35 +48,35 @@
 // forgetUnread forgets the tasks that may have run at lost workers, once no worker of the
 // previous owner is awaited and each task with a possible crash has outlived a start since.
 // Until then the record is kept: owners may end before such a task is started again.
-func (c *Core) forgetUnheard() {
+func (c *Core) forgetUnread() {
 	if len(c.unresolved) == 0 && !c.unknown && c.doubtful == 0 && !c.lostUnheard.none() {
-		c.lostUnheard, c.lostInTerm = unheardTasks{}, unheardTasks{}
+		c.lostUnheard, c.lostInTerm = unreadTasks{}, unreadTasks{}
 		c.unheardStale = true
 	}
 }
 
 // Unread returns the record of the tasks that may have run at lost workers, for an owner that
 // takes over before they are forgotten; nil if the store has it.
-func (c *Core) Unheard() ([]byte, error) {
+func (c *Core) Unread() ([]byte, error) {
 	if !c.unheardStale {
 		return nil, nil
 	}
-	return json.Marshal(unheardRecord{c.lostUnheard.any, slices.Sorted(maps.Keys(c.lostUnheard.tasks))})
+	return json.Marshal(unreadRecord{c.lostUnheard.any, slices.Sorted(maps.Keys(c.lostUnheard.tasks))})
 }
 
 // UnreadStored records that the store holds what Unread returned.
-func (c *Core) UnheardStored(value []byte) {
+func (c *Core) UnreadStored(value []byte) {
 	if value == nil {
 		return
 	}
-	newest, err := c.Unheard()
+	newest, err := c.Unread()
 	c.unheardStale = err != nil || !bytes.Equal(value, newest)
 }
 
 // RecoverUnread applies the previous owner's record. One that can't be decoded stands for
 // all tasks.
-func (c *Core) TakeUnheard(value []byte) error {
-	var r unheardRecord
+func (c *Core) RecoverUnread(value []byte) error {
+	var r unreadRecord
 	if err := json.Unmarshal(value, &r); err != nil {
 		c.lostUnheard.add(unresolvedWorker{open: true})
 		return err
--- a/dispatch/unheard_test.go
+++ b/dispatch/unheard_test.go
@@ -4,7 +4,7 @@
 
 // TestUnreadRecords: an unread record that can't be decoded stands for all tasks, a valid one for
 // those that it names.
-func TestUnheardRecords(t *testing.T) {
+func TestUnreadRecords(t *testing.T) {
 	gang, single := simpleJob(1, 2), simpleJob(2, 2)
 	gang.Steps[0].Gang = true
 	for value, want := range map[string][2]bool{
@@ -15,7 +15,7 @@
 		`{"tasks":["` + gang.ID + `.0.0.1"]}`:   {true, false},
 	} {
 		core := sureCore(Params{}, 1, Instant{})
-		if err := core.TakeUnheard([]byte(value)); (err != nil) != (value == "{") {
+		if err := core.RecoverUnread([]byte(value)); (err != nil) != (value == "{") {
 			t.Errorf("%s: %v", value, err)
 		}
 		core.AddJob(gang, nil, false, Instant{})
--- a/dispatch/unsurepace_test.go
+++ b/dispatch/unsurepace_test.go
@@ -27,8 +27,8 @@
 // fillCore returns a core of term 2 that has adopted a fill, and its attempt.
 func fillCore(t *testing.T, now Instant) (*Core, RunningTask, *attempt) {
 	t.Helper()
-	core := livesCore(now, RosterEntry{ID: "w1", Address: "w1", VM: "m1"})
-	core.SetWorkers([]WorkerInfo{lifeInfo("w1", "m1")}, now)
+	core := recoveredCore(now, RosterEntry{ID: "w1", Address: "w1", VM: "m1"})
+	core.SetWorkers([]WorkerInfo{testWorkerInfo("w1", "m1")}, now)
 	rosterOf(t, core)
 	spec := simpleJob(1, 1)
 	spec.Steps[0].Fills, spec.Steps[0].Image = true, "batch"
--- a/dispatch/upkeep.go
+++ b/dispatch/upkeep.go
@@ -107,7 +107,7 @@
 	for _, vm := range wave.VMs {
 		u := &vmUpkeep{vm: vm}
 		if r, ok := known.VMs[vm]; ok {
-			u.life, u.intended, u.begun, u.void = LifeID(r.Life, r.Born), true, r.Begun, r.Void
+			u.life, u.intended, u.begun, u.void = IncarnationID(r.Life, r.Born), true, r.Begun, r.Void
 			u.begunAt = now.Steady
 		}
 		s.vms = append(s.vms, u)
@@ -140,7 +140,7 @@
 			continue
 		}
 		w := c.workerOfVM(u.vm)
-		if w != nil && !w.info.ID.mayBe(u.life) || now.Steady-u.begunAt > upkeepLongest {
+		if w != nil && !w.info.ID.mayMatch(u.life) || now.Steady-u.begunAt > upkeepLongest {
 			u.back = true
 			c.trace(Decision{Event: "vm_back", Reason: u.vm, Age: now.Steady - u.begunAt})
 		}
--- a/dispatch/worker.go
+++ b/dispatch/worker.go
@@ -72,7 +72,7 @@
 	// forLease is set if its newest list was requested early, to renew the lease.
 	forLease bool
 	// unansweredAck is the highest acknowledgement sent since the newest answer.
-	// endsUncertain is set if the previous incarnation had one, see doubtEnds.
+	// endsUncertain is set if the previous incarnation had one, see excludeForAcknowledgement.
 	ackUnanswered uint64
 	endsDoubted   bool
 	// processedEnd is the number of the last end processed, storedEnd that of the last
--- a/node/load.go
+++ b/node/load.go
@@ -127,7 +127,7 @@
 	for _, p := range own {
 		switch p.Key {
 		case unheardKey:
-			if err := core.TakeUnheard(p.Value); err != nil {
+			if err := core.RecoverUnread(p.Value); err != nil {
 				n.noteUnreadable("unheard_unreadable", p.Key, p.ModRevision, err)
 			}
 		case learntKey:
--- a/node/record.go
+++ b/node/record.go
@@ -81,7 +81,7 @@
 	}
 	var unheard []byte
 	if err == nil {
-		unheard, err = o.core.Unheard()
+		unheard, err = o.core.Unread()
 	}
 	var wave *dispatch.WaveRecord
 	if err == nil {
@@ -109,9 +109,9 @@
 	startsWait := false
 	o.locked(func(c *dispatch.Core, _ dispatch.Instant) {
 		c.Persisted(records)
-		startsWait = c.StartsWait()
+		startsWait = c.HasUnsentStarts()
 		c.RosterStored(roster)
-		c.UnheardStored(unheard)
+		c.UnreadStored(unheard)
 		if wave != nil {
 			c.WavePersisted(wave)
 		}
