--- a/cmd/leverstile/node.go
+++ b/cmd/leverstile/node.go
@@ -97,7 +97,7 @@
 		Params: dispatch.Params{
 			MaxTaskLease: b.MaxTaskLease, OverTarget: b.OverTarget,
 			JobKept: b.JobStateKept + jobKeptMargin, RemoteFactor: max(b.RemoteFactor, 1), PaceAfter: b.PaceAfter,
-			Restore: b.Restore, Maintenance: b.Maintenance, HolderGap: b.HolderGap, RoomNotice: b.Contact,
+			Restore: b.Restore, Maintenance: b.Maintenance, HolderGap: b.HolderGap, MaxWorkerListAge: b.Contact,
 		},
 	}
 }
--- a/dispatch/admit.go
+++ b/dispatch/admit.go
@@ -35,7 +35,7 @@
 // admitted, and so is one whose capacity can't be determined.
 func (c *Core) Admit(spec *job.Spec, now Instant) Admission {
 	q, known := c.queues[spec.Queue]
-	k := c.kept[q.Service]
+	k := c.reservedCapacity[q.Service]
 	if !known || k == nil || c.jobs[spec.ID] != nil || c.deposed || len(c.unresolved) > 0 || spec.Occurrences > 0 {
 		return Admission{}
 	}
@@ -85,11 +85,11 @@
 func (c *Core) lastingPlaces(service string, s *job.Step, now Instant) int {
 	amount, places := amountOf(s), 0
 	for _, w := range c.members[service] {
-		if w.kept || !c.inPool(w, service, now) {
+		if w.isReserved || !c.inPool(w, service, now) {
 			continue
 		}
-		n := min(times(w.info.CPUMilli-w.lasting.cpu, amount.cpu), times(w.info.MemoryMiB-w.lasting.memory, amount.memory),
-			times(w.info.Accelerators-w.lasting.accelerators, amount.accelerators))
+		n := min(times(w.info.CPUMilli-w.longRunning.cpu, amount.cpu), times(w.info.MemoryMiB-w.longRunning.memory, amount.memory),
+			times(w.info.Accelerators-w.longRunning.accelerators, amount.accelerators))
 		if s.MaxPerWorker > 0 {
 			n = min(n, s.MaxPerWorker)
 		}
@@ -109,7 +109,7 @@
 // longRunningWaiting returns how many long-running tasks of a service are ready.
 func (c *Core) lastingWaiting(service string) int {
 	n := 0
-	for _, s := range c.open {
+	for _, s := range c.openSteps {
 		if s.spec.Lasting && c.queues[s.job.spec.Queue].Service == service {
 			n += s.ready
 		}
@@ -136,7 +136,7 @@
 
 // Crowded reports whether short tasks have waited for capacity for longer than crowdedAfter.
 func (c *Core) Crowded(now Instant) bool {
-	for _, k := range c.kept {
+	for _, k := range c.reservedCapacity {
 		if k.waiting > 0 && now.Steady-k.waitingSince > crowdedAfter {
 			return true
 		}
@@ -147,7 +147,7 @@
 // ReservedCPU returns what is reserved for short tasks of all services, and what short
 // tasks on time hold and wait for on average, in thousandths of a core.
 func (c *Core) KeptCPU() (reserved, demand int64) {
-	for _, k := range c.kept {
+	for _, k := range c.reservedCapacity {
 		reserved += k.got
 		demand += int64(k.demand.mean)
 	}
--- a/dispatch/admit_test.go
+++ b/dispatch/admit_test.go
@@ -9,10 +9,10 @@
 // much capacity; a job that has capacity, or that is known already, is admitted.
 func TestLastingJobWithoutRoomIsRefused(t *testing.T) {
 	core, now := keptCore(t, 40)
-	if a := core.Admit(lastingJob(1, 20), now); a.Refused {
+	if a := core.Admit(longRunningJob(1, 20), now); a.Refused {
 		t.Fatalf("refused in a pool with capacity: %s", a.Reason)
 	}
-	large := lastingJob(2, 1000)
+	large := longRunningJob(2, 1000)
 	a := core.Admit(large, now)
 	if !a.Refused || a.RetryAfter != retryMost {
 		t.Errorf("a job without capacity, where no task ends: %+v", a)
--- a/dispatch/advice.go
+++ b/dispatch/advice.go
@@ -96,13 +96,13 @@
 		req.Workers = append(req.Workers, r.id)
 	}
 	a.asking = true
-	c.asks = append(c.asks, req)
+	c.adviceRequests = append(c.adviceRequests, req)
 }
 
 // TakeAdviceRequests returns the requests for advice since the last call.
 func (c *Core) TakeAsks() []AdviceRequest {
-	asks := c.asks
-	c.asks = nil
+	asks := c.adviceRequests
+	c.adviceRequests = nil
 	return asks
 }
 
--- a/dispatch/attempts_test.go
+++ b/dispatch/attempts_test.go
@@ -17,7 +17,7 @@
 		*number++
 		ended = append(ended, EndedTask{Number: *number, Task: o.Task, Run: o.Run, Kind: kind})
 	}
-	core.HoldDone(HoldOrder{Worker: "w0"}, HoldReply{ClockMS: 1000 + now.Steady.Milliseconds(), Ended: ended}, OutcomeOK, *now)
+	core.PollDone(PollRequest{Worker: "w0"}, PollReply{ClockMS: 1000 + now.Steady.Milliseconds(), Ended: ended}, OutcomeOK, *now)
 	return len(list)
 }
 
@@ -64,7 +64,7 @@
 // other members are stopped, and then all start under one new run.
 func TestGangThatLostMembersWithItsOwnerStartsAnew(t *testing.T) {
 	now := Instant{Steady: time.Second}
-	core := sureCore(Params{RecoveryWait: 10 * time.Second}, 2, now)
+	core := leasedCore(Params{RecoveryWait: 10 * time.Second}, 2, now)
 	core.Recover([]RosterEntry{{ID: "w0", Address: "w0", VM: "m0"}, {ID: "gone", Address: "gone", VM: "m1"}}, now)
 	spec := simpleJob(1, 3)
 	spec.Steps[0].Gang = true
@@ -75,16 +75,16 @@
 	for i := range 2 {
 		rows = append(rows, RunningTask{Task: job.TaskID{Job: spec.ID, Index: i}, Run: 1<<runBits | 1, Percent: 10})
 	}
-	core.HoldDone(core.PlanHold("w0", now).Order, HoldReply{ClockMS: 1000, Running: rows}, OutcomeOK, now)
+	core.PollDone(core.PlanPoll("w0", now).Order, PollReply{ClockMS: 1000, Running: rows}, OutcomeOK, now)
 	core.Tick(now)
 	if started, stopped := ordersOf(core); started+stopped != 0 {
 		t.Fatalf("%d starts and %d stops while the third member may run", started, stopped)
 	}
 	now.Steady += 11 * time.Second
-	for range suspectAfter {
-		core.HoldDone(core.PlanHold("gone", now).Order, HoldReply{}, OutcomeUnknown, now)
+	for range unreachedAfter {
+		core.PollDone(core.PlanPoll("gone", now).Order, PollReply{}, OutcomeUnknown, now)
 	}
-	core.HoldDone(core.PlanHold("w0", now).Order, HoldReply{ClockMS: 12_000, Running: rows}, OutcomeOK, now)
+	core.PollDone(core.PlanPoll("w0", now).Order, PollReply{ClockMS: 12_000, Running: rows}, OutcomeOK, now)
 	core.Tick(now)
 	if started, stopped := ordersOf(core); started != 0 || stopped != 2 {
 		t.Fatalf("%d starts and %d stops once the third member is lost, want 2 stops", started, stopped)
@@ -105,7 +105,7 @@
 // owner started it.
 func TestGangAwaitsItsLastMember(t *testing.T) {
 	now := Instant{Steady: time.Second}
-	core := sureCore(Params{RecoveryWait: 10 * time.Second}, 2, now)
+	core := leasedCore(Params{RecoveryWait: 10 * time.Second}, 2, now)
 	spec := simpleJob(1, 3)
 	spec.Steps[0].Gang = true
 	last := job.TaskID{Job: spec.ID, Index: 2}
@@ -113,12 +113,12 @@
 	core.AddJob(spec, nil, true, now)
 	core.SetWorkers([]WorkerInfo{testWorkerInfo("w0", "m0")}, now)
 	storeOpen(core, "w0")
-	core.HoldDone(core.PlanHold("w0", now).Order, HoldReply{ClockMS: 1000}, OutcomeOK, now)
+	core.PollDone(core.PlanPoll("w0", now).Order, PollReply{ClockMS: 1000}, OutcomeOK, now)
 	core.Tick(now)
 	if list := starts(core); len(list) > 0 {
 		t.Errorf("%d members start while one may run elsewhere", len(list))
 	}
-	core.HoldDone(core.PlanHold("gone", now).Order, HoldReply{ClockMS: 1000}, OutcomeOK, now)
+	core.PollDone(core.PlanPoll("gone", now).Order, PollReply{ClockMS: 1000}, OutcomeOK, now)
 	core.Tick(now)
 	if list := starts(core); len(list) != 3 {
 		t.Errorf("%d members start once none runs anywhere, want 3", len(list))
--- a/dispatch/away_test.go
+++ b/dispatch/away_test.go
@@ -21,16 +21,16 @@
 	}
 	for _, o := range list {
 		core.OrderDone(o, Answer{Outcome: OutcomeOK, ClockMS: 1001}, now)
-		reply := HoldReply{ClockMS: 1100, Running: []RunningTask{{Task: o.Task, Run: o.Run, Percent: fullPace}}}
-		core.HoldDone(core.PlanHold(o.Worker, now).Order, reply, OutcomeOK, now)
+		reply := PollReply{ClockMS: 1100, Running: []RunningTask{{Task: o.Task, Run: o.Run, Percent: fullPace}}}
+		core.PollDone(core.PlanPoll(o.Worker, now).Order, reply, OutcomeOK, now)
 	}
 	available, silent := core.findTask(list[0].Task), list[1].Worker
 	if !available.mayLeave() {
 		t.Fatal("a task may not be stopped while the other is available")
 	}
-	for range suspectAfter {
+	for range unreachedAfter {
 		now.Steady += 500 * time.Millisecond
-		core.HoldDone(core.PlanHold(silent, now).Order, HoldReply{}, OutcomeUnknown, now)
+		core.PollDone(core.PlanPoll(silent, now).Order, PollReply{}, OutcomeUnknown, now)
 	}
 	if available.mayLeave() {
 		t.Error("a task may be stopped while the other's worker is silent")
@@ -46,11 +46,11 @@
 	core.Schedule(now)
 	for _, percent := range []int{0, fullPace - 1, fullPace} {
 		want := percent == fullPace
-		reply := HoldReply{ClockMS: 1100 + int64(percent)}
+		reply := PollReply{ClockMS: 1100 + int64(percent)}
 		for _, s := range core.jobs[spec.ID].steps[0].tasks {
 			reply.Running = append(reply.Running, RunningTask{Task: s.id(), Run: s.attempt.run, Percent: percent})
 		}
-		core.HoldDone(core.PlanHold("w0", now).Order, reply, OutcomeOK, now)
+		core.PollDone(core.PlanPoll("w0", now).Order, reply, OutcomeOK, now)
 		if got := core.findTask(reply.Running[0].Task).mayLeave(); got != want {
 			t.Errorf("a task may be stopped while the other is at %d%%: %v, want %v", percent, got, want)
 		}
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -22,8 +22,8 @@
 	core.SetWorkers(list, now)
 	storeRoster(b, core)
 	for i, info := range list {
-		core.HoldDone(HoldOrder{Worker: info.ID}, HoldReply{ClockMS: 1000}, OutcomeOK, now)
-		spec := lastingJob(i, 4)
+		core.PollDone(PollRequest{Worker: info.ID}, PollReply{ClockMS: 1000}, OutcomeOK, now)
+		spec := longRunningJob(i, 4)
 		spec.Steps[0].CPUMilli, spec.Steps[0].MemoryMiB = 3200, 6400
 		spec.Steps[0].Image, spec.Steps[0].TargetMS = fmt.Sprintf("serve%d", i%5), 50
 		core.AddJob(spec, nil, false, now)
@@ -59,7 +59,7 @@
 					number[o.Worker]++
 					ended := []EndedTask{{Number: number[o.Worker], Task: o.Task, Run: o.Run, Kind: EndDone}}
 					w := core.workers[o.Worker]
-					core.takeEnds(w, ended, now)
+					core.processEnds(w, ended, now)
 					w.rebuild()
 				}
 				records, err := core.Records(27)
@@ -136,7 +136,7 @@
 		}
 	}
 	ids := core.Workers()
-	replies := make([]HoldReply, len(ids))
+	replies := make([]PollReply, len(ids))
 	rows := 0
 	for i, id := range ids {
 		for _, a := range core.workers[id].attempts {
@@ -152,7 +152,7 @@
 			reply.Running[j].Reading = 15 + int64((i*7+j*3)%13)
 		}
 		reply.ClockMS = 2000 + int64(i)
-		core.HoldDone(HoldOrder{Worker: ids[i%len(ids)]}, *reply, OutcomeOK, now)
+		core.PollDone(PollRequest{Worker: ids[i%len(ids)]}, *reply, OutcomeOK, now)
 		core.TakeOrders()
 		i++
 	}
@@ -164,7 +164,7 @@
 	core := benchCore(b, 66)
 	now := Instant{Steady: 2 * time.Second}
 	w := core.workers["w00000"]
-	reply := HoldReply{ClockMS: 2000}
+	reply := PollReply{ClockMS: 2000}
 	for _, a := range w.attempts {
 		reply.Running = append(reply.Running, RunningTask{Task: a.task.id(), Run: a.run, Percent: 100, Reading: 20, HasReading: true})
 	}
@@ -172,7 +172,7 @@
 	for b.Loop() {
 		now.Steady += 10 * time.Millisecond
 		reply.ClockMS += 10
-		core.HoldDone(HoldOrder{Worker: w.info.ID}, reply, OutcomeOK, now)
+		core.PollDone(PollRequest{Worker: w.info.ID}, reply, OutcomeOK, now)
 	}
 }
 
@@ -184,7 +184,7 @@
 	for b.Loop() {
 		b.StopTimer()
 		now := Instant{Steady: time.Second}
-		core := sureCore(Params{}, 1, now)
+		core := leasedCore(Params{}, 1, now)
 		var list []WorkerInfo
 		for i := range workers {
 			list = append(list, testWorkerInfo(fmt.Sprintf("w%03d", i), fmt.Sprintf("m%03d", i)))
--- a/dispatch/budget.go
+++ b/dispatch/budget.go
@@ -30,7 +30,7 @@
 func (c *Core) fillPaces(w *worker, now Instant) []fillPace {
 	budgets := make([]budget, 0, len(w.load.serving))
 	for _, v := range w.load.serving {
-		budgets = append(budgets, budget{v.image, max(v.alone-paceHeadroom, 0) * w.squeeze})
+		budgets = append(budgets, budget{v.image, max(v.alone-paceHeadroom, 0) * w.paceScale})
 	}
 	var paces []fillPace
 	var culprits []candidate
--- a/dispatch/budget_test.go
+++ b/dispatch/budget_test.go
@@ -9,7 +9,7 @@
 // that stays halted is queued again.
 func TestHeadroomGoesToTheJobThatIsDueFirst(t *testing.T) {
 	now := Instant{Steady: 20 * time.Second, UnixMS: 20_000}
-	core := sureCore(Params{}, 1, now)
+	core := leasedCore(Params{}, 1, now)
 	w := core.addWorker(WorkerInfo{ID: "w", CPUMilli: 16000, MemoryMiB: 64000}, now)
 	core.model.regression("web").grow("loud", 6, 0.01)
 	w.load.serving = []servingLoad{{"web", paceHeadroom + 1}}
@@ -32,7 +32,7 @@
 		}
 	}
 	w.load.serving[0].alone = paceHeadroom
-	for at := now; at.Steady < now.Steady+2*requeueAfter; at.Steady += holdWaitWatched {
+	for at := now; at.Steady < now.Steady+2*requeueAfter; at.Steady += pollWaitWatched {
 		core.pace(w, at)
 		if later.stopping && at.Steady-now.Steady < requeueAfter {
 			t.Fatalf("stopped %v after it was halted", at.Steady-now.Steady)
--- a/dispatch/calm.go
+++ b/dispatch/calm.go
@@ -135,8 +135,8 @@
 // before a time without a recently started run of the task. If more did, such a run may be at one
 // by chance. If the window began before this owner's term, the rate is unknown and not low.
 func (c *Core) lowCrashRate(t *task, near nearbyCrashes) bool {
-	known := near.at-crashRateWindow >= c.firstRenewed
-	return known && float64(near.count(t, near.at-crashRateWindow)) <= lowCrashShare*float64(len(c.lives))
+	known := near.at-crashRateWindow >= c.leaseHeldSince
+	return known && float64(near.count(t, near.at-crashRateWindow)) <= lowCrashShare*float64(len(c.incarnations))
 }
 
 // lowCrashRateNow is lowCrashRate for the present time.
--- a/dispatch/cancel_test.go
+++ b/dispatch/cancel_test.go
@@ -80,11 +80,11 @@
 			core.AddJob(spec, nil, false, now)
 		},
 		"cancelled before a sure lease": func(core *Core, spec *job.Spec, now Instant) {
-			certainUntil := core.certainUntil
-			core.certainUntil = now.Steady
+			certainUntil := core.leaseHeldUntil
+			core.leaseHeldUntil = now.Steady
 			core.AddJob(spec, nil, false, now)
 			core.Cancel(spec.ID, now)
-			core.certainUntil = certainUntil
+			core.leaseHeldUntil = certainUntil
 		},
 	} {
 		for _, delay := range []int64{0, 500} {
--- a/dispatch/checkpoint_rapid_test.go
+++ b/dispatch/checkpoint_rapid_test.go
@@ -34,7 +34,7 @@
 
 type checkpointReply struct {
 	worker WorkerID
-	reply  HoldReply
+	reply  PollReply
 }
 
 // checkpointTask returns the task that represents all that share a checkpoint.
@@ -84,10 +84,10 @@
 	m.newest[id], m.told[id] = run, text
 }
 
-func (m *checkpointModel) answer(worker WorkerID, reply HoldReply) {
+func (m *checkpointModel) answer(worker WorkerID, reply PollReply) {
 	delete(m.unread, worker)
 	m.now.Steady += 10 * time.Millisecond
-	m.core.HoldDone(HoldOrder{Worker: worker}, reply, OutcomeOK, m.now)
+	m.core.PollDone(PollRequest{Worker: worker}, reply, OutcomeOK, m.now)
 }
 
 // end has a worker report the end of a run.
@@ -96,7 +96,7 @@
 	text := m.drawText(t, id, run)
 	m.ends[worker]++
 	m.clock++
-	reply := HoldReply{ClockMS: m.clock, Running: m.running(worker, id), Ended: []EndedTask{{
+	reply := PollReply{ClockMS: m.clock, Running: m.running(worker, id), Ended: []EndedTask{{
 		Number: m.ends[worker], Task: id, Run: run, Checkpoint: text,
 		Kind: rapid.SampledFrom([]EndKind{EndStopped, EndLapsed, EndFailed, EndBroken}).Draw(t, "kind"),
 	}}}
@@ -115,7 +115,7 @@
 	m.clock++
 	rows := append(m.running(worker, id), RunningTask{Task: id, Run: run, Checkpoint: text})
 	m.tell(id, run, worker, text)
-	m.send(worker, HoldReply{ClockMS: m.clock, Running: rows})
+	m.send(worker, PollReply{ClockMS: m.clock, Running: rows})
 }
 
 func (m *checkpointModel) drawText(t *rapid.T, id job.TaskID, run uint64) string {
@@ -136,7 +136,7 @@
 	return rows
 }
 
-func (m *checkpointModel) send(worker WorkerID, reply HoldReply) {
+func (m *checkpointModel) send(worker WorkerID, reply PollReply) {
 	m.sent = append(m.sent, checkpointReply{worker, reply})
 	m.answer(worker, reply)
 }
@@ -167,7 +167,7 @@
 func (m *checkpointModel) read(t *rapid.T) {
 	worker := rapid.SampledFrom(m.workers).Draw(t, "read")
 	m.clock++
-	m.answer(worker, HoldReply{ClockMS: m.clock, Running: m.running(worker, job.TaskID{})})
+	m.answer(worker, PollReply{ClockMS: m.clock, Running: m.running(worker, job.TaskID{})})
 }
 
 // restart ends a worker's incarnation and adds the next one.
@@ -177,7 +177,7 @@
 		return
 	}
 	i := rapid.IntRange(0, len(m.workers)-1).Draw(t, "restarted")
-	m.core.HoldDone(HoldOrder{Worker: m.workers[i]}, HoldReply{}, OutcomeOtherLife, m.now)
+	m.core.PollDone(PollRequest{Worker: m.workers[i]}, PollReply{}, OutcomeOtherIncarnation, m.now)
 	m.begin(i)
 }
 
@@ -220,7 +220,7 @@
 func newCheckpointModel() *checkpointModel {
 	const term = 4
 	now := Instant{Steady: time.Minute, UnixMS: 1_000_000}
-	m := &checkpointModel{core: sureCore(Params{}, term, now), now: now, clock: 1, ends: map[WorkerID]uint64{}, newest: map[job.TaskID]uint64{}, told: map[job.TaskID]string{}, unread: map[WorkerID]bool{}, started: map[job.TaskID][]startedRun{}}
+	m := &checkpointModel{core: leasedCore(Params{}, term, now), now: now, clock: 1, ends: map[WorkerID]uint64{}, newest: map[job.TaskID]uint64{}, told: map[job.TaskID]string{}, unread: map[WorkerID]bool{}, started: map[job.TaskID][]startedRun{}}
 	for range 3 {
 		m.workers = append(m.workers, "")
 		m.begin(len(m.workers) - 1)
--- a/dispatch/checkpoint_test.go
+++ b/dispatch/checkpoint_test.go
@@ -57,7 +57,7 @@
 		ended[i].Number = x.ends[id]
 	}
 	x.now.Steady += 20 * time.Millisecond
-	x.core.HoldDone(HoldOrder{Worker: id}, HoldReply{ClockMS: x.clock, Running: running, Ended: ended}, OutcomeOK, x.now)
+	x.core.PollDone(PollRequest{Worker: id}, PollReply{ClockMS: x.clock, Running: running, Ended: ended}, OutcomeOK, x.now)
 }
 
 func endOf(o Order, kind EndKind, text string) EndedTask {
@@ -214,7 +214,7 @@
 	x := newCheckpointCore(t, 1, nil)
 	first := x.order(0)
 	x.list(first.Worker, []RunningTask{rowOf(first, "at 1 s")})
-	x.core.lose(x.core.workers[first.Worker], "its leases are over", x.now)
+	x.core.releaseAllLost(x.core.workers[first.Worker], "its leases are over", x.now)
 	x.schedule()
 	second := x.order(0)
 	if second.Worker == first.Worker {
@@ -233,10 +233,10 @@
 	x := newCheckpointCore(t, 1, nil)
 	first := x.order(0)
 	x.list(first.Worker, []RunningTask{rowOf(first, "a")})
-	x.core.lose(x.core.workers[first.Worker], "its leases are over", x.now)
+	x.core.releaseAllLost(x.core.workers[first.Worker], "its leases are over", x.now)
 	x.schedule()
 	second := x.order(0)
-	x.core.OrderDone(second, Answer{Outcome: OutcomeNoRoom, ClockMS: x.clock}, x.now)
+	x.core.OrderDone(second, Answer{Outcome: OutcomeNoCapacity, ClockMS: x.clock}, x.now)
 	x.list(first.Worker, []RunningTask{rowOf(first, "b")})
 	x.list(first.Worker, []RunningTask{rowOf(first, "c")})
 	if a := x.core.findTask(first.Task).attempt; a == nil || a.run != first.Run {
--- a/dispatch/clear.go
+++ b/dispatch/clear.go
@@ -25,16 +25,16 @@
 // clears worker by worker, so that the capacity of whole short tasks becomes free. The
 // moved tasks take places that others leave elsewhere.
 func (c *Core) clearKept(service string, k *keptRoom, now Instant) {
-	if k.waiting == 0 || now.Steady-k.waitingSince < clearAfter || now.Steady-k.clearedAt < clearPause || !c.certain(now) {
+	if k.waiting == 0 || now.Steady-k.waitingSince < clearAfter || now.Steady-k.clearedAt < clearPause || !c.holdsLease(now) {
 		return
 	}
 	var reserved []*worker
 	for _, w := range c.members[service] {
-		if w.kept && w.lasting.cpu > 0 {
+		if w.isReserved && w.longRunning.cpu > 0 {
 			reserved = append(reserved, w)
 		}
 	}
-	slices.SortStableFunc(reserved, func(a, b *worker) int { return cmp.Compare(a.lasting.cpu, b.lasting.cpu) })
+	slices.SortStableFunc(reserved, func(a, b *worker) int { return cmp.Compare(a.longRunning.cpu, b.longRunning.cpu) })
 	left := clearAtOnce
 	for _, w := range reserved {
 		for _, a := range slices.Clone(w.attempts) {
--- a/dispatch/clock_test.go
+++ b/dispatch/clock_test.go
@@ -10,7 +10,7 @@
 func TestClockJumpsKeepStates(t *testing.T) {
 	for _, jump := range []time.Duration{time.Hour, -time.Hour, 3 * time.Second} {
 		now := Instant{Steady: time.Minute, UnixMS: 1_700_000_000_000}
-		core := sureCore(Params{JobKept: 150 * time.Second}, 1, now)
+		core := leasedCore(Params{JobKept: 150 * time.Second}, 1, now)
 		spec := simpleJob(1, 1)
 		spec.AcceptedMS = now.UnixMS
 		core.AddJob(spec, nil, false, now)
@@ -37,7 +37,7 @@
 // Jobs from an entry whose clock is off must keep their order: neither hopeless nor the most urgent.
 func TestSkewOfAnEntryKeepsTheOrder(t *testing.T) {
 	now := Instant{Steady: time.Hour, UnixMS: 1_700_000_000_000}
-	core := sureCore(Params{}, 1, now)
+	core := leasedCore(Params{}, 1, now)
 	add := func(n int, skew time.Duration, at Instant) *stepRun {
 		spec := simpleJob(n, 1)
 		spec.AcceptedMS = at.UnixMS + skew.Milliseconds()
--- a/dispatch/contract_test.go
+++ b/dispatch/contract_test.go
@@ -28,7 +28,7 @@
 	core.SetWorkers(list, now)
 	storeOpen(core, ids...)
 	for _, id := range ids {
-		core.HoldDone(core.PlanHold(id, now).Order, HoldReply{ClockMS: 1000}, OutcomeOK, now)
+		core.PollDone(core.PlanPoll(id, now).Order, PollReply{ClockMS: 1000}, OutcomeOK, now)
 	}
 	return core, now
 }
@@ -62,7 +62,7 @@
 		}
 	}
 	// One member is refused for lack of capacity: the others stop, and all start again.
-	core.OrderDone(list[0], Answer{Outcome: OutcomeNoRoom, ClockMS: 1001}, now)
+	core.OrderDone(list[0], Answer{Outcome: OutcomeNoCapacity, ClockMS: 1001}, now)
 	stops := map[int]bool{}
 	for _, o := range core.TakeOrders() {
 		if o.Kind != OrderStop {
@@ -80,7 +80,7 @@
 				ended = append(ended, EndedTask{Number: uint64(i + 1), Task: o.Task, Run: o.Run, Kind: EndStopped})
 			}
 		}
-		core.HoldDone(HoldOrder{Worker: id}, HoldReply{ClockMS: 1100, Ended: ended}, OutcomeOK, now)
+		core.PollDone(PollRequest{Worker: id}, PollReply{ClockMS: 1100, Ended: ended}, OutcomeOK, now)
 	}
 	now.Steady += time.Second
 	core.Schedule(now)
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -36,7 +36,7 @@
 	Maintenance time.Duration
 	// MaxWorkerListAge is how old the list of workers may be at starts in a service whose
 	// workers do not check their capacity, which may have shrunk since. 0 means no limit.
-	RoomNotice time.Duration
+	MaxWorkerListAge time.Duration
 	// HolderGap is the least time between VM orders of two owners.
 	HolderGap time.Duration
 	// RecoveryWait is how long after a takeover orders of the previous owner
@@ -61,9 +61,9 @@
 	nextRun uint64
 	// validUntil is when the right to give orders ends, leaseHeldUntil the time from
 	// which another owner may exist; see Renewed.
-	validUntil, certainUntil time.Duration
+	validUntil, leaseHeldUntil time.Duration
 	// leaseHeldSince is when the lease was first known to hold.
-	firstRenewed time.Duration
+	leaseHeldSince time.Duration
 	// deposed is set once a worker has reported a higher term.
 	deposed bool
 
@@ -78,7 +78,7 @@
 	jobs      map[string]*jobState
 	workers   map[WorkerID]*worker
 	// incarnations holds the workers by VM, where the VM is known.
-	lives map[string][]*worker
+	incarnations map[string][]*worker
 	// order holds all workers, members those of each service, by id.
 	order   []*worker
 	members map[string][]*worker
@@ -89,9 +89,9 @@
 	slow         map[string]*slowCount // by service
 	work         work
 	// incarnationsByName holds the incarnations of each worker's id.
-	names map[string]*sameIDIncarnations
+	incarnationsByName map[string]*sameIDIncarnations
 	// ended holds incarnations that have ended and may still be listed.
-	over map[WorkerID]bool
+	ended map[WorkerID]bool
 	// unresolved are workers of the previous owner that have not answered
 	// yet: a task in phaseUnknown may run there. openUnresolved counts those
 	// where any task may run.
@@ -99,30 +99,30 @@
 	openUnresolved int
 	// lostUnread holds the tasks of workers that were lost before this owner read their
 	// lists.
-	lostUnheard unreadTasks
+	lostUnread unreadTasks
 	// lostInTerm holds the tasks of workers that were lost in this term.
 	lostInTerm unreadTasks
 	// possibleCrashTasks counts the tasks with possible crashes.
-	doubtful int
+	possibleCrashTasks int
 	// unsentStarts wait for the store. recordedStarts, by worker, are starts of previous
 	// owners whose fate is not known yet.
 	unsentStarts   []unsentStart
 	recordedStarts map[WorkerID][]recordedStart
 	// unreadStale is set while the store's record of lostUnread is out of date.
-	unheardStale bool
+	unreadStale bool
 	// unknown is set while tasks in phaseUnknown wait for settleUnknown.
 	unknown bool
 	roster  roster
 	// evacuated holds the data centres whose workers get no new tasks.
 	evacuated map[string]bool
-	open      []*stepRun // steps with tasks that may start
+	openSteps []*stepRun // steps with tasks that may start
 	refusals  refusals
 	overload  overload
 	// ratedScratch is a buffer that choosers reuse, one at a time; candidateScratch is
 	// one that scheduling passes reuse.
 	ratedScratch     ratedWorkers
 	candidateScratch []candidate
-	asks             []AdviceRequest // not taken yet
+	adviceRequests   []AdviceRequest // not taken yet
 	learntAt         time.Duration   // when the learned state was last stored
 	dropped          droppedJobs
 	deferred         []deferredJob // jobs that arrived while the lease was not held for certain
@@ -132,9 +132,9 @@
 	held      map[string]bool // jobs whose tasks are not touched; see HoldJob
 	// lostIncarnations holds incarnations that may have crashed, crashed the newest crash
 	// of VMs that crashed recently, both by VM. suspects counts the tasks with crashes.
-	lostLives map[string]lostIncarnation
-	crashed   map[string]crashRecord
-	suspects  int
+	lostIncarnations map[string]lostIncarnation
+	crashed          map[string]crashRecord
+	suspects         int
 	// fellSilent is, by VM, when its newest incarnation with tasks fell silent, if that
 	// incarnation ended recently.
 	fellSilent map[string]time.Duration
@@ -145,17 +145,17 @@
 	// nextTrial is when the next trial run of a suspect task may be started.
 	nextTrial time.Duration
 	// dirty holds the jobs whose progress is not stored, with their turn to be written.
-	dirty     map[*jobState]uint64
-	waves     map[int64]*waveState
-	upkeeps   []UpkeepOrder // not taken yet
-	turn      uint64
-	out       []Order
-	trace     func(Decision)
-	model     *interference
-	demand    fillDemand
-	kept      map[string]*keptRoom // by service
-	stats     Stats
-	perfByKey map[perfKey]*runTimes
+	dirty             map[*jobState]uint64
+	waves             map[int64]*waveState
+	maintenanceOrders []UpkeepOrder // not taken yet
+	turn              uint64
+	out               []Order
+	trace             func(Decision)
+	model             *interference
+	demand            fillDemand
+	reservedCapacity  map[string]*keptRoom // by service
+	stats             Stats
+	perfByKey         map[perfKey]*runTimes
 }
 
 // Stats are counters of the core's decisions.
@@ -175,7 +175,7 @@
 type work struct {
 	// reachChecks, slowChecks and endChecks are checks of workers for which others
 	// answer, which are slow, and whose ends are stored.
-	reachLooks, slowLooks, endLooks uint64
+	reachChecks, slowChecks, endChecks uint64
 }
 
 // Decision is one decision or change of the core's view, for the log.
@@ -227,10 +227,10 @@
 	return &Core{
 		params: params, term: term,
 		queues: map[string]job.Queue{}, services: map[string]bool{}, unguarded: map[string]bool{}, jobs: map[string]*jobState{}, cancelled: map[string]time.Duration{}, held: map[string]bool{},
-		lostLives: map[string]lostIncarnation{}, crashed: map[string]crashRecord{}, fellSilent: map[string]time.Duration{},
-		workers: map[WorkerID]*worker{}, lives: map[string][]*worker{}, names: map[string]*sameIDIncarnations{}, members: map[string][]*worker{}, racks: map[string][]*worker{}, unstoredEnds: map[*worker]bool{}, slow: map[string]*slowCount{}, over: map[WorkerID]bool{}, recordedStarts: map[WorkerID][]recordedStart{}, unresolved: map[WorkerID]unresolvedWorker{},
+		lostIncarnations: map[string]lostIncarnation{}, crashed: map[string]crashRecord{}, fellSilent: map[string]time.Duration{},
+		workers: map[WorkerID]*worker{}, incarnations: map[string][]*worker{}, incarnationsByName: map[string]*sameIDIncarnations{}, members: map[string][]*worker{}, racks: map[string][]*worker{}, unstoredEnds: map[*worker]bool{}, slow: map[string]*slowCount{}, ended: map[WorkerID]bool{}, recordedStarts: map[WorkerID][]recordedStart{}, unresolved: map[WorkerID]unresolvedWorker{},
 		roster: newRoster(), dirty: map[*jobState]uint64{}, waves: map[int64]*waveState{}, trace: trace,
-		model: newInterference(), demand: fillDemand{}, kept: map[string]*keptRoom{}, perfByKey: map[perfKey]*runTimes{},
+		model: newInterference(), demand: fillDemand{}, reservedCapacity: map[string]*keptRoom{}, perfByKey: map[perfKey]*runTimes{},
 	}
 }
 
@@ -250,11 +250,11 @@
 // at a steady time. Orders may be given, and leases may last, until OwnerHorizon
 // after it.
 func (c *Core) Renewed(sent time.Duration) {
-	if c.certainUntil == 0 {
-		c.firstRenewed = sent
+	if c.leaseHeldUntil == 0 {
+		c.leaseHeldSince = sent
 	}
 	c.validUntil = max(c.validUntil, sent+c.params.OwnerHorizon)
-	c.certainUntil = max(c.certainUntil, sent+c.params.OwnerTTL-leaseMargin)
+	c.leaseHeldUntil = max(c.leaseHeldUntil, sent+c.params.OwnerTTL-leaseMargin)
 }
 
 // leaseMargin is the part of the owner's lease that is not used, since two clocks
@@ -262,7 +262,7 @@
 const leaseMargin = 100 * time.Millisecond
 
 // holdsLease reports whether no other owner can have taken over yet.
-func (c *Core) certain(now Instant) bool { return now.Steady < c.certainUntil }
+func (c *Core) holdsLease(now Instant) bool { return now.Steady < c.leaseHeldUntil }
 
 // SetConfig applies a version of the configuration. A queue that was removed
 // keeps its last settings for the jobs that it accepted.
@@ -306,7 +306,7 @@
 }
 
 // logTask logs a decision on a task.
-func (c *Core) tellTask(event string, t *task, w *worker, run uint64, reason string) {
+func (c *Core) logTask(event string, t *task, w *worker, run uint64, reason string) {
 	c.trace(taskDecision(event, t, w, run, reason))
 }
 
@@ -320,7 +320,7 @@
 
 // logGivenUp logs the conclusion that an attempt does not run, with the values
 // behind it.
-func (c *Core) tellGivenUp(event string, a *attempt, reason, detail string, age time.Duration) {
+func (c *Core) logGivenUp(event string, a *attempt, reason, detail string, age time.Duration) {
 	d := taskDecision(event, a.task, a.worker, a.run, reason)
 	d.Detail, d.Age = detail, age
 	c.trace(d)
--- a/dispatch/core_test.go
+++ b/dispatch/core_test.go
@@ -76,16 +76,16 @@
 	core.AddJob(spec, nil, true, now)
 	core.Renewed(0)
 	listed := []RunningTask{{Task: job.TaskID{Job: spec.ID}, Run: 7, Percent: 100}}
-	core.HoldDone(core.PlanHold("w1", now).Order, HoldReply{ClockMS: 500_000, Running: listed}, OutcomeOK, now)
-	core.HoldDone(core.PlanHold("w2", now).Order, HoldReply{ClockMS: 500_000}, OutcomeOK, now)
+	core.PollDone(core.PlanPoll("w1", now).Order, PollReply{ClockMS: 500_000, Running: listed}, OutcomeOK, now)
+	core.PollDone(core.PlanPoll("w2", now).Order, PollReply{ClockMS: 500_000}, OutcomeOK, now)
 	core.Tick(Instant{Steady: now.Steady + 100*time.Millisecond})
 	for _, o := range core.TakeOrders() {
 		t.Errorf("order %v of run %d at %s", o.Kind, o.Run, o.Worker)
 	}
 }
 
-// lastingJob is a job of tasks that run until the job is cancelled.
-func lastingJob(id, tasks int) *job.Spec {
+// longRunningJob is a job of tasks that run until the job is cancelled.
+func longRunningJob(id, tasks int) *job.Spec {
 	spec := simpleJob(id, tasks)
 	spec.Steps[0].Lasting = true
 	return spec
@@ -102,10 +102,10 @@
 
 // Polls of a lost worker that carry new deadlines, which it might have accepted, would keep its
 // leases from ever expiring, so that its long-running tasks never start again.
-func TestTasksOfALostWorkerStartAgain(t *testing.T) {
+func TestTasksOfLostWorkerStartAgain(t *testing.T) {
 	s := newSim(3, 3)
 	s.run(time.Second)
-	s.submit(lastingJob(1, 6))
+	s.submit(longRunningJob(1, 6))
 	s.run(2 * time.Second)
 	w := s.workers[0]
 	s.oracle.crashed(w)
@@ -123,7 +123,7 @@
 func TestDrainingWorkerIsEvacuated(t *testing.T) {
 	s := newSim(3, 3)
 	s.run(time.Second)
-	s.submit(lastingJob(1, 6))
+	s.submit(longRunningJob(1, 6))
 	s.run(2 * time.Second)
 	w := s.workers[0]
 	w.info.Draining, w.info.Leaving = true, 4*time.Second
@@ -149,7 +149,7 @@
 	core.Renewed(0)
 	for i, w := range []WorkerID{"w1", "w2"} {
 		ended := []EndedTask{{Number: 1, Task: job.TaskID{Job: spec.ID}, Run: uint64(8 - i), Kind: EndFailed}}
-		core.HoldDone(core.PlanHold(w, now).Order, HoldReply{ClockMS: 500_000, Ended: ended}, OutcomeOK, now)
+		core.PollDone(core.PlanPoll(w, now).Order, PollReply{ClockMS: 500_000, Ended: ended}, OutcomeOK, now)
 	}
 	core.Tick(Instant{Steady: 2 * time.Second})
 	for _, o := range core.TakeOrders() {
@@ -160,7 +160,7 @@
 // The list entry of a crashed incarnation stays for some heartbeats beside that of the next
 // incarnation at its address, and a late write may recreate it. Neither may end the incarnation
 // that runs: only the worker proves which incarnation has ended.
-func TestListedLivesAtOneAddress(t *testing.T) {
+func TestListedIncarnationsAtOneAddress(t *testing.T) {
 	core := New(Params{MaxTaskLease: 6 * time.Second, OwnerTTL: time.Minute, OwnerHorizon: time.Minute}, 1, nil)
 	core.SetConfig(&job.Config{Version: 1, Queues: []job.Queue{{Name: "q", Service: "svc"}}})
 	info := func(id WorkerID) WorkerInfo {
@@ -177,8 +177,8 @@
 		storeOpen(core, "old", "new")
 		if i >= 1 {
 			// The address answers for the next incarnation only.
-			core.HoldDone(HoldOrder{Worker: "old"}, HoldReply{}, OutcomeOtherLife, now)
-			core.HoldDone(HoldOrder{Worker: "new"}, HoldReply{ClockMS: int64(1000 * i), Running: rows}, OutcomeOK, now)
+			core.PollDone(PollRequest{Worker: "old"}, PollReply{}, OutcomeOtherIncarnation, now)
+			core.PollDone(PollRequest{Worker: "new"}, PollReply{ClockMS: int64(1000 * i), Running: rows}, OutcomeOK, now)
 		}
 		if i == 1 {
 			core.AddJob(simpleJob(1, 2), nil, false, now)
@@ -201,7 +201,7 @@
 }
 
 // The interference and short-task demand that an owner has learned pass to the next owner.
-func TestLearntStateIsHandedOn(t *testing.T) {
+func TestLearnedStatePassesToNextOwner(t *testing.T) {
 	first := New(Params{}, 1, nil)
 	for i := range 400 {
 		share := 0.1 * float64(i%3-1)
@@ -234,7 +234,7 @@
 
 // With more changed jobs than one write takes, jobs with high ids must still be written, or
 // the ends of their tasks are never acknowledged.
-func TestRecordsGoInTurn(t *testing.T) {
+func TestAllRecordsAreWrittenInTurn(t *testing.T) {
 	const jobs, limit = 12, 3
 	core := New(Params{OwnerTTL: time.Minute, OwnerHorizon: time.Minute}, 1, nil)
 	core.Renewed(0)
@@ -265,14 +265,14 @@
 
 // A more urgent task that lacks only memory preempts fill tasks, which continue
 // elsewhere from their checkpoints.
-func TestUrgentTasksTakeMemoryOfFills(t *testing.T) {
+func TestUrgentTasksPreemptFillsForMemory(t *testing.T) {
 	core := New(Params{MaxTaskLease: 6 * time.Second, OwnerTTL: time.Minute, OwnerHorizon: time.Minute, JobKept: time.Hour}, 1, nil)
 	now := Instant{Steady: time.Second}
 	core.Renewed(0)
 	core.SetConfig(&job.Config{Version: 1, Queues: []job.Queue{{Name: "q", Service: "svc"}, {Name: "patient", Service: "svc", Priority: 2}}})
 	core.SetWorkers([]WorkerInfo{{ID: "w", Address: "a", Service: "svc", CPUMilli: 16000, MemoryMiB: 1000}}, now)
 	storeOpen(core, "w")
-	core.HoldDone(core.PlanHold("w", now).Order, HoldReply{ClockMS: 1000}, OutcomeOK, now)
+	core.PollDone(core.PlanPoll("w", now).Order, PollReply{ClockMS: 1000}, OutcomeOK, now)
 	fills := simpleJob(1, 2)
 	fills.Queue = "patient"
 	fills.Steps[0].Fills, fills.Steps[0].Checkpoints = true, true
@@ -296,7 +296,7 @@
 
 // Noisy readings of a task that is over its target dip below it; the fill tasks beside it must
 // still be halted before the allowed time is over.
-func TestReadingsThatDipDoNotEndTheWatch(t *testing.T) {
+func TestDippingReadingsDoNotResetTimeOverTarget(t *testing.T) {
 	const allowed = 4 * time.Second
 	core := New(Params{MaxTaskLease: 6 * time.Second, OwnerTTL: time.Hour, OwnerHorizon: time.Hour, OverTarget: allowed}, 1, nil)
 	core.Renewed(0)
@@ -304,8 +304,8 @@
 	core.SetWorkers([]WorkerInfo{{ID: "w", Address: "a", Service: "svc", CPUMilli: 16000, MemoryMiB: 9000}}, Instant{})
 	storeOpen(core, "w")
 	now := Instant{Steady: time.Second}
-	core.HoldDone(core.PlanHold("w", now).Order, HoldReply{ClockMS: 1000}, OutcomeOK, now)
-	serving, fill := lastingJob(1, 1), simpleJob(2, 1)
+	core.PollDone(core.PlanPoll("w", now).Order, PollReply{ClockMS: 1000}, OutcomeOK, now)
+	serving, fill := longRunningJob(1, 1), simpleJob(2, 1)
 	serving.Steps[0].TargetMS, serving.Steps[0].Image = 100, "web"
 	fill.Steps[0].Fills, fill.Steps[0].Image = true, "noisy"
 	core.AddJob(serving, nil, false, now)
@@ -318,15 +318,15 @@
 	}
 	began := now.Steady
 	for i := 0; now.Steady-began < allowed*3/4; i++ {
-		now.Steady += holdWaitWatched
-		reply := HoldReply{ClockMS: 1001 + now.Steady.Milliseconds(), Running: rows}
+		now.Steady += pollWaitWatched
+		reply := PollReply{ClockMS: 1001 + now.Steady.Milliseconds(), Running: rows}
 		for k := range rows {
 			rows[k].Reading = 500 // a fill's processor use
 			if rows[k].Task.Job == serving.ID {
 				rows[k].Reading = []int64{91, 88, 107, 92, 94, 113}[i%6]
 			}
 		}
-		core.HoldDone(HoldOrder{Worker: "w"}, reply, OutcomeOK, now)
+		core.PollDone(PollRequest{Worker: "w"}, reply, OutcomeOK, now)
 		for _, o := range core.TakeOrders() {
 			core.OrderDone(o, Answer{ClockMS: reply.ClockMS}, now)
 			if o.Kind == OrderPace && o.Percent == 0 {
--- a/dispatch/crash.go
+++ b/dispatch/crash.go
@@ -27,7 +27,7 @@
 	broken bool
 }
 
-func (w *worker) recordAnswer(now Instant) { w.heardAt, w.loss = now.Steady, contactLoss{} }
+func (w *worker) recordAnswer(now Instant) { w.lastContact, w.loss = now.Steady, contactLoss{} }
 
 func (w *worker) recordNoAnswer(outcome Outcome, now Instant) {
 	if w.loss.since == 0 {
@@ -63,7 +63,7 @@
 	switch {
 	case w.info.Draining || w.leavesAt > 0:
 		return endDrained
-	case w.takenDown || w.cordoned:
+	case w.endedByMaintenance || w.cordoned:
 		return endMaintenance
 	case w.loss.since > 0 && !w.loss.broken && now.Steady-w.loss.since > brokenConnWindow:
 		return endSilent
@@ -113,7 +113,7 @@
 	var list []*attempt
 	for _, a := range w.attempts {
 		sentInTime := w.loss.since == 0 || a.ackClock > 0 || a.placedAt <= w.loss.since
-		if !a.unsent && sentInTime && w.heardAt-a.started < startCrashWindow {
+		if !a.unsent && sentInTime && w.lastContact-a.started < startCrashWindow {
 			list = append(list, a)
 		}
 	}
@@ -124,7 +124,7 @@
 // crashed it.
 func (c *Core) logIncarnationEnd(w *worker, how incarnationEnd, recent []*attempt, now Instant) {
 	c.trace(Decision{
-		Event: "worker_ended", Worker: w.info.ID, Reason: how.String(), Age: now.Steady - w.heardAt,
+		Event: "worker_ended", Worker: w.info.ID, Reason: how.String(), Age: now.Steady - w.lastContact,
 		Detail: fmt.Sprintf("%d runs, %d of them started recently", len(w.attempts), len(recent)),
 	})
 	if how != endCrashed {
@@ -133,7 +133,7 @@
 	c.stats.Crashes++
 	for _, a := range recent {
 		d := taskDecision("run_in_crash", a.task, w, a.run, "started shortly before its worker crashed")
-		d.Age = max(w.heardAt-a.started, 0)
+		d.Age = max(w.lastContact-a.started, 0)
 		c.trace(d)
 	}
 }
--- a/dispatch/crash_test.go
+++ b/dispatch/crash_test.go
@@ -161,7 +161,7 @@
 	case f.down[vm] > f.now.Steady:
 		return OutcomeBroken
 	case f.incarnation[vm] != id && !f.sameID:
-		return OutcomeOtherLife
+		return OutcomeOtherIncarnation
 	default:
 		return OutcomeOK
 	}
@@ -192,12 +192,12 @@
 
 func (f *crashFleet) poll() {
 	for _, id := range f.core.Workers() {
-		plan := f.core.PlanHold(id, f.now)
+		plan := f.core.PlanPoll(id, f.now)
 		if !plan.Send {
 			continue
 		}
 		outcome := f.reach(plan.Order.Address, id)
-		reply := HoldReply{}
+		reply := PollReply{}
 		if outcome == OutcomeOK {
 			id = f.incarnation[plan.Order.Address]
 			reply.ClockMS, reply.Born = f.now.Steady.Milliseconds(), id.Born()
@@ -211,7 +211,7 @@
 				}
 			}
 		}
-		f.core.HoldDone(plan.Order, reply, outcome, f.now)
+		f.core.PollDone(plan.Order, reply, outcome, f.now)
 	}
 }
 
--- a/dispatch/demand.go
+++ b/dispatch/demand.go
@@ -58,7 +58,7 @@
 
 // recordDemand records the demand of the short steps of a pass, after it.
 func (c *Core) noteDemand(list []candidate, now Instant) {
-	for _, k := range c.kept {
+	for _, k := range c.reservedCapacity {
 		if k.waiting == 0 {
 			k.waitingSince = now.Steady
 		}
@@ -140,7 +140,7 @@
 // number.
 func (c *Core) shortUse(service string) (cpu int64, tasks int) {
 	for _, w := range c.members[service] {
-		cpu += w.used.cpu - w.lasting.cpu
+		cpu += w.used.cpu - w.longRunning.cpu
 		tasks += w.shortTasks
 	}
 	return cpu, tasks
--- a/dispatch/dropped_test.go
+++ b/dispatch/dropped_test.go
@@ -54,7 +54,7 @@
 // as its submission may be in progress; a job that comes by then is cancelled, a later one is not.
 func TestCancelsOfNoJob(t *testing.T) {
 	now := Instant{Steady: time.Second}
-	core := sureCore(Params{JobKept: time.Hour}, 1, now)
+	core := leasedCore(Params{JobKept: time.Hour}, 1, now)
 	early, late := simpleJob(1, 1), simpleJob(2, 1)
 	core.Cancel(early.ID, now)
 	core.Cancel(late.ID, now)
--- a/dispatch/eligible.go
+++ b/dispatch/eligible.go
@@ -30,7 +30,7 @@
 	barrierEndsDoubted
 	// exclusionIncarnationUncertain: another owner may be there; see mayHaveRestarted.
 	barrierLifeDoubted
-	// exclusionStaleClock: the worker's clock was read too long ago to set a deadline; see leastAt.
+	// exclusionStaleClock: the worker's clock was read too long ago to set a deadline; see minClockAt.
 	barrierStale
 	// exclusionStaleCapacity: the worker does not check its own capacity, which may have
 	// shrunk since the list of workers was read.
@@ -50,7 +50,7 @@
 	switch {
 	case !w.listed:
 		return barrierUnlisted
-	case w.overReason != "":
+	case w.endReason != "":
 		return barrierOver
 	case w.info.Draining:
 		return barrierDraining
@@ -60,17 +60,17 @@
 		return barrierUpkeep
 	case !w.synced:
 		return barrierUnread
-	case w.unanswered >= suspectAfter:
+	case w.unansweredCalls >= unreachedAfter:
 		return barrierSilent
 	case now.Steady < w.avoidUntil:
 		return barrierAvoided
-	case w.endsDoubted:
+	case w.endsUncertain:
 		return barrierEndsDoubted
 	case c.mayHaveRestarted(w, now):
 		return barrierLifeDoubted
-	case w.leastAt(c.validUntil) <= w.clockNow(now):
+	case w.minClockAt(c.validUntil) <= w.clockNow(now):
 		return barrierStale
-	case c.unguarded[w.info.Service] && c.params.RoomNotice > 0 && now.Steady-c.listedAt > c.params.RoomNotice:
+	case c.unguarded[w.info.Service] && c.params.MaxWorkerListAge > 0 && now.Steady-c.listedAt > c.params.MaxWorkerListAge:
 		return barrierOldRoom
 	case !w.recorded:
 		return barrierUnrecorded
--- a/dispatch/eligible_test.go
+++ b/dispatch/eligible_test.go
@@ -11,7 +11,7 @@
 	for want, exclude := range map[barrier]func(core *Core, w *worker, now Instant){
 		barrierNone:     func(*Core, *worker, Instant) {},
 		barrierUnlisted: func(core *Core, w *worker, _ Instant) { w.listed = false },
-		barrierOver:     func(_ *Core, w *worker, _ Instant) { w.overReason = "test" },
+		barrierOver:     func(_ *Core, w *worker, _ Instant) { w.endReason = "test" },
 		barrierDraining: func(core *Core, w *worker, now Instant) {
 			info := w.info
 			info.Draining = true
@@ -21,8 +21,8 @@
 		barrierUpkeep:    func(_ *Core, w *worker, _ Instant) { w.cordoned = true },
 		barrierUnread:    func(_ *Core, w *worker, _ Instant) { w.synced = false },
 		barrierSilent: func(core *Core, w *worker, now Instant) {
-			for range suspectAfter {
-				core.HoldDone(HoldOrder{Worker: w.info.ID}, HoldReply{}, OutcomeUnknown, now)
+			for range unreachedAfter {
+				core.PollDone(PollRequest{Worker: w.info.ID}, PollReply{}, OutcomeUnknown, now)
 			}
 		},
 		barrierAvoided: func(core *Core, w *worker, now Instant) { core.avoidWorker(w, "test", now) },
--- a/dispatch/ends.go
+++ b/dispatch/ends.go
@@ -33,7 +33,7 @@
 	}
 	a := t.attemptAt(w, e.Run)
 	c.noteEndCheckpoint(t, w, e)
-	c.tellTask("run_"+string(e.Kind), t, w, e.Run, "")
+	c.logTask("run_"+string(e.Kind), t, w, e.Run, "")
 	c.markBegun(t.step.job)
 	c.countEnd(w, t, a, e, now)
 	if a != nil {
--- a/dispatch/evacuation_test.go
+++ b/dispatch/evacuation_test.go
@@ -13,7 +13,7 @@
 func evacuationCore(t *testing.T) (*Core, Instant) {
 	t.Helper()
 	now := Instant{Steady: time.Minute, UnixMS: 60_000}
-	core := sureCore(Params{}, 1, now)
+	core := leasedCore(Params{}, 1, now)
 	var list []WorkerInfo
 	for _, id := range []string{"a1", "a2", "b1", "b2"} {
 		list = append(list, WorkerInfo{ID: WorkerID(id), Address: id, Service: "svc", DataCentre: id[:1], CPUMilli: 4000, MemoryMiB: 4000})
@@ -21,7 +21,7 @@
 	core.SetWorkers(list, now)
 	storeRoster(t, core)
 	for _, w := range list {
-		core.HoldDone(core.PlanHold(w.ID, now).Order, HoldReply{ClockMS: 500_000}, OutcomeOK, now)
+		core.PollDone(core.PlanPoll(w.ID, now).Order, PollReply{ClockMS: 500_000}, OutcomeOK, now)
 	}
 	return core, now
 }
--- a/dispatch/gang.go
+++ b/dispatch/gang.go
@@ -7,7 +7,7 @@
 		return
 	}
 	for _, t := range s.tasks {
-		if t.phase == phaseReady && (now.Steady < t.notBefore || t.concluded && !c.certain(now)) {
+		if t.phase == phaseReady && (now.Steady < t.notBefore || t.concluded && !c.holdsLease(now)) {
 			return
 		}
 	}
@@ -80,7 +80,7 @@
 	skipSlow := s.sparesSlow(now)
 	skipReserved := c.sparesKept(s, now)
 	for _, w := range pool {
-		if now.Steady < w.slowUntil && skipSlow || w.kept && skipReserved || now.Steady < w.fullUntil || !s.allowed(w) {
+		if now.Steady < w.slowUntil && skipSlow || w.isReserved && skipReserved || now.Steady < w.fullUntil || !s.allowed(w) {
 			continue
 		}
 		taken := resources{}
--- a/dispatch/growth_test.go
+++ b/dispatch/growth_test.go
@@ -46,10 +46,10 @@
 	f.core.SetWorkers(f.list, f.now)
 	storeRoster(t, f.core)
 	for _, info := range f.list {
-		f.core.HoldDone(f.core.PlanHold(info.ID, f.now).Order, HoldReply{ClockMS: 1000}, OutcomeOK, f.now)
+		f.core.PollDone(f.core.PlanPoll(info.ID, f.now).Order, PollReply{ClockMS: 1000}, OutcomeOK, f.now)
 	}
 	for i := range growthJobs {
-		spec := lastingJob(i, workers/growthJobs)
+		spec := longRunningJob(i, workers/growthJobs)
 		spec.Steps[0].CPUMilli, spec.Steps[0].MaxPerWorker = 4000, 1
 		f.core.AddJob(spec, nil, false, f.now)
 	}
@@ -65,17 +65,17 @@
 	f.t.Helper()
 	f.now.Steady += time.Second
 	for _, info := range f.list {
-		order := f.core.PlanHold(info.ID, f.now).Order
+		order := f.core.PlanPoll(info.ID, f.now).Order
 		if info.DataCentre == centre {
-			f.core.HoldDone(order, HoldReply{}, OutcomeUnknown, f.now)
+			f.core.PollDone(order, PollReply{}, OutcomeUnknown, f.now)
 			continue
 		}
 		w := f.core.workers[info.ID]
-		reply := HoldReply{ClockMS: 2000}
+		reply := PollReply{ClockMS: 2000}
 		for _, a := range w.attempts {
 			reply.Running = append(reply.Running, RunningTask{Task: a.task.id(), Run: a.run, Percent: 100})
 		}
-		f.core.HoldDone(order, reply, OutcomeOK, f.now)
+		f.core.PollDone(order, reply, OutcomeOK, f.now)
 	}
 }
 
@@ -87,9 +87,9 @@
 		f := newGrowthFleet(t, workers)
 		f.silence("1")
 		f.now.Steady += 100 * time.Millisecond
-		before := f.core.work.reachLooks
+		before := f.core.work.reachChecks
 		f.core.Tick(f.now)
-		if scans := f.core.work.reachLooks - before; scans > uint64(workers) {
+		if scans := f.core.work.reachChecks - before; scans > uint64(workers) {
 			t.Errorf("%d workers: %d scans in a tick", workers, scans)
 		}
 	}
@@ -106,10 +106,10 @@
 		}
 		w := f.core.order[workers/2]
 		a := w.attempts[0]
-		f.core.takeEnds(w, []EndedTask{{Number: 1, Task: a.task.id(), Run: a.run, Kind: EndFailed}}, f.now)
-		before := f.core.work.endLooks
+		f.core.processEnds(w, []EndedTask{{Number: 1, Task: a.task.id(), Run: a.run, Kind: EndFailed}}, f.now)
+		before := f.core.work.endChecks
 		f.core.Persisted(records)
-		if scans := f.core.work.endLooks - before; scans > 1 {
+		if scans := f.core.work.endChecks - before; scans > 1 {
 			t.Errorf("%d workers: %d scans for one with an end", workers, scans)
 		}
 	}
@@ -149,11 +149,11 @@
 func TestSlowWorkersAreCountedOnce(t *testing.T) {
 	for _, workers := range fleetSizes() {
 		f := newGrowthFleet(t, workers)
-		before := f.core.work.slowLooks
+		before := f.core.work.slowChecks
 		for _, w := range f.core.order[:workers/2] {
 			f.core.spareSlow(w, f.now)
 		}
-		if scans := f.core.work.slowLooks - before; scans > uint64(workers) {
+		if scans := f.core.work.slowChecks - before; scans > uint64(workers) {
 			t.Errorf("%d workers: %d scans for the lists of half of them", workers, scans)
 		}
 	}
--- a/dispatch/helper_test.go
+++ b/dispatch/helper_test.go
@@ -6,9 +6,9 @@
 	"leverstile.dev/job"
 )
 
-// sureCore returns a core whose lease holds for an hour, with one queue "q" of
+// leasedCore returns a core whose lease holds for an hour, with one queue "q" of
 // service "svc". It overwrites the lease times of params.
-func sureCore(params Params, term uint64, now Instant) *Core {
+func leasedCore(params Params, term uint64, now Instant) *Core {
 	params.MaxTaskLease, params.OwnerTTL, params.OwnerHorizon = 6*time.Second, time.Hour, 2*time.Hour
 	core := New(params, term, nil)
 	core.Renewed(now.Steady)
--- a/dispatch/interference_test.go
+++ b/dispatch/interference_test.go
@@ -78,7 +78,7 @@
 
 // Guards against admitting a fill that is known to hurt to a worker without headroom for it.
 func TestFillsGoWhereHeadroomIsLeft(t *testing.T) {
-	core := sureCore(Params{}, 1, Instant{})
+	core := leasedCore(Params{}, 1, Instant{})
 	w := core.addWorker(WorkerInfo{CPUMilli: 16000, MemoryMiB: 64000}, Instant{})
 	s := &stepRun{spec: &job.Step{Count: 1, CPUMilli: 1600, Fills: true, Image: "loud"}}
 	core.model.regression("web").grow("loud", 6, 0.01)
@@ -96,7 +96,7 @@
 // Guards against new fills on a worker whose tasks have been over their targets for long, each of
 // which would work until the next list is read.
 func TestNoFillsBesideTasksOverTheirTarget(t *testing.T) {
-	core := sureCore(Params{OverTarget: 4 * time.Second}, 1, Instant{})
+	core := leasedCore(Params{OverTarget: 4 * time.Second}, 1, Instant{})
 	w := core.addWorker(WorkerInfo{CPUMilli: 16000, MemoryMiB: 64000}, Instant{})
 	core.model.regression("web").grow("loud", 6, 0.01)
 	core.model.regression("web").grow("calm", 0.1, 0.01)
@@ -113,7 +113,7 @@
 		{time.Second, "calm", false, false},
 		{time.Second, "calm", true, false},
 	} {
-		w.over = x.over
+		w.overTarget = x.over
 		s := &stepRun{spec: &job.Step{Count: 1, CPUMilli: 1600, Fills: true, Image: x.image}}
 		if _, ok := core.scoreFill(s, w, x.starved); ok != x.admission {
 			t.Errorf("%s, starved %v, beside a task over its target for %v: admitted %v", x.image, x.starved, x.over, ok)
--- a/dispatch/jobs.go
+++ b/dispatch/jobs.go
@@ -177,7 +177,7 @@
 	if _, ok := c.jobs[spec.ID]; ok || c.held[spec.ID] || c.dropped.known[spec.ID] {
 		return
 	}
-	if !stored && !c.certain(now) {
+	if !stored && !c.holdsLease(now) {
 		// Another owner may have taken over and started the job, which would
 		// then be treated as one that nobody else can have started.
 		c.deferred = append(c.deferred, deferredJob{spec, now.Steady - ageAtIntake(spec, stored, now)})
@@ -256,7 +256,7 @@
 
 // addDeferred adds the jobs that came while the lease was not held for certain.
 func (c *Core) addDeferred(now Instant) {
-	if len(c.deferred) == 0 || !c.certain(now) {
+	if len(c.deferred) == 0 || !c.holdsLease(now) {
 		return
 	}
 	list := c.deferred
@@ -360,7 +360,7 @@
 func (c *Core) queueStep(s *stepRun) {
 	if !s.queued {
 		s.queued = true
-		c.open = append(c.open, s)
+		c.openSteps = append(c.openSteps, s)
 	}
 }
 
--- a/dispatch/keep.go
+++ b/dispatch/keep.go
@@ -50,17 +50,17 @@
 }
 
 func (c *Core) keptOf(service string) *keptRoom {
-	k := c.kept[service]
+	k := c.reservedCapacity[service]
 	if k == nil {
 		k = &keptRoom{}
-		c.kept[service] = k
+		c.reservedCapacity[service] = k
 	}
 	return k
 }
 
 // reservesCapacity reports whether any service has short tasks that capacity is reserved for.
 func (c *Core) keepsRoom() bool {
-	for _, k := range c.kept {
+	for _, k := range c.reservedCapacity {
 		if k.need > 0 {
 			return true
 		}
@@ -70,7 +70,7 @@
 
 // tickReserved follows the demand of short tasks, and chooses and clears reserved workers.
 func (c *Core) tickKept(now Instant) {
-	for service, k := range c.kept {
+	for service, k := range c.reservedCapacity {
 		running, tasks := c.shortUse(service)
 		k.follow(running, tasks, now)
 		if now.Steady-k.chosenAt >= keepPause {
@@ -91,7 +91,7 @@
 	k.largest = largest{}
 	for _, w := range pool {
 		size += w.info.CPUMilli
-		longRunning += w.lasting.cpu
+		longRunning += w.longRunning.cpu
 		k.largest.add(&w.info)
 	}
 	k.need = int64(k.peak)
@@ -100,10 +100,10 @@
 	}
 	chosen := k.pick(pool, int64(keepMost*float64(size)))
 	for _, w := range c.members[service] {
-		if w.kept && !chosen[w] {
+		if w.isReserved && !chosen[w] {
 			c.refusals.opened(w, false)
 		}
-		w.kept = chosen[w]
+		w.isReserved = chosen[w]
 	}
 	k.tell(c, service, longRunning, size)
 }
@@ -111,7 +111,7 @@
 // pick returns the workers to reserve, of at most so many thousandths of a core in all.
 func (k *keptRoom) pick(pool []*worker, most int64) map[*worker]bool {
 	slices.SortStableFunc(pool, func(a, b *worker) int {
-		return cmp.Or(cmp.Compare(boolRank(a.kept), boolRank(b.kept)), cmp.Compare(b.freeOfLasting(), a.freeOfLasting()))
+		return cmp.Or(cmp.Compare(boolRank(a.isReserved), boolRank(b.isReserved)), cmp.Compare(b.freeOfLasting(), a.freeOfLasting()))
 	})
 	piece := max(int64(k.piece.mean), 1)
 	chosen := make(map[*worker]bool, len(pool))
@@ -133,7 +133,7 @@
 
 // freeOfLongRunning returns the capacity that long-running tasks leave of a worker, in
 // thousandths of a core; 0 for a worker whose capacity has shrunk below what they take.
-func (w *worker) freeOfLasting() int64 { return max(w.info.CPUMilli-w.lasting.cpu, 0) }
+func (w *worker) freeOfLasting() int64 { return max(w.info.CPUMilli-w.longRunning.cpu, 0) }
 
 // boolRank sorts true first.
 func boolRank(b bool) int {
@@ -163,7 +163,7 @@
 		return false
 	}
 	q := c.queues[s.job.spec.Queue]
-	k := c.kept[q.Service]
+	k := c.reservedCapacity[q.Service]
 	if k == nil || k.workers == 0 || q.Priority < k.priority {
 		return false
 	}
--- a/dispatch/keep_test.go
+++ b/dispatch/keep_test.go
@@ -75,7 +75,7 @@
 
 func (c *crowdedSim) handInLasting() {
 	c.id++
-	spec := lastingJob(c.id, 8)
+	spec := longRunningJob(c.id, 8)
 	spec.Steps[0].CPUMilli, spec.Steps[0].MaxAway = 800, 1
 	c.day.lasting++
 	if !c.handIn(spec) {
@@ -159,7 +159,7 @@
 func (c *Core) keptWorkers() int {
 	n := 0
 	for _, w := range c.order {
-		if w.kept {
+		if w.isReserved {
 			n++
 		}
 	}
@@ -195,7 +195,7 @@
 		if n := core.keptWorkers(); n != 0 {
 			t.Errorf("%d of %d workers are reserved", n, workers)
 		}
-		if a := core.Admit(lastingJob(1, 1), now); a.Refused {
+		if a := core.Admit(longRunningJob(1, 1), now); a.Refused {
 			t.Errorf("%d workers: a long-running job is refused: %s", workers, a.Reason)
 		}
 	}
@@ -207,16 +207,16 @@
 	core, now := keptCore(t, 40)
 	free := 0
 	for _, w := range core.order {
-		if !w.kept {
+		if !w.isReserved {
 			free += int((w.info.CPUMilli - w.used.cpu) / 500)
 		}
 	}
-	core.AddJob(lastingJob(1, free), nil, false, now)
+	core.AddJob(longRunningJob(1, free), nil, false, now)
 	core.Schedule(now)
 	if n := len(starts(core)); n != free {
 		t.Fatalf("%d long-running tasks start on workers that are not reserved, of %d that fit", n, free)
 	}
-	core.AddJob(lastingJob(2, 4), nil, false, now)
+	core.AddJob(longRunningJob(2, 4), nil, false, now)
 	core.Schedule(now)
 	if n := len(starts(core)); n != 0 {
 		t.Fatalf("%d long-running tasks take reserved capacity at once", n)
@@ -236,7 +236,7 @@
 	config.Version++
 	config.Queues = append(config.Queues, job.Queue{Name: "first", Service: "svc", Priority: -1})
 	core.SetConfig(&config)
-	spec := lastingJob(1, 1)
+	spec := longRunningJob(1, 1)
 	spec.Queue = "first"
 	core.AddJob(spec, nil, false, now)
 	if s := core.jobs[spec.ID].steps[0]; core.sparesKept(s, now) {
@@ -248,7 +248,7 @@
 // workers, of each step no more at a time than may be unavailable.
 func TestKeptWorkersAreClearedWithinWhatStepsMayMiss(t *testing.T) {
 	core, now := idleCore(t, 8)
-	spec := lastingJob(1, 16)
+	spec := longRunningJob(1, 16)
 	spec.Steps[0].CPUMilli, spec.Steps[0].MaxAway = 1500, 2
 	core.AddJob(spec, nil, false, now)
 	core.Schedule(now)
@@ -260,7 +260,7 @@
 	}
 	k := core.keptOf("svc")
 	k.waiting, k.waitingSince = 4000, now.Steady
-	core.order[0].kept, core.order[1].kept = true, true
+	core.order[0].isReserved, core.order[1].isReserved = true, true
 	core.clearKept("svc", k, now)
 	if n := stops(core); n != 0 {
 		t.Fatalf("%d stops before short tasks have waited", n)
--- a/dispatch/latestart_test.go
+++ b/dispatch/latestart_test.go
@@ -42,17 +42,17 @@
 			core, spec := takeoverWithRoster(t, now)
 			begins := now.Steady + 40*time.Millisecond
 			for range 4 {
-				order := core.PlanHold("w1", now).Order
+				order := core.PlanPoll("w1", now).Order
 				unseen := slices.DeleteFunc(slices.Clone(ends), func(e EndedTask) bool { return e.Number <= order.Seen })
 				if len(unseen) == 0 {
 					now.Steady += order.Wait
 				}
-				reply := HoldReply{ClockMS: now.Steady.Milliseconds(), Ended: unseen}
+				reply := PollReply{ClockMS: now.Steady.Milliseconds(), Ended: unseen}
 				if now.Steady >= begins {
 					reply.Running = []RunningTask{listedRun(spec)}
 				}
 				now.Steady += time.Millisecond
-				pause := core.HoldDone(order, reply, OutcomeOK, now)
+				pause := core.PollDone(order, reply, OutcomeOK, now)
 				core.Tick(now)
 				core.Schedule(now)
 				for _, o := range core.TakeOrders() {
--- a/dispatch/learnt.go
+++ b/dispatch/learnt.go
@@ -64,7 +64,7 @@
 	for key, r := range c.perfByKey {
 		s.Times = append(s.Times, learntTime{key.queue, key.image, r.n, r.log})
 	}
-	for service, k := range c.kept {
+	for service, k := range c.reservedCapacity {
 		s.Short = append(s.Short, learntShort{service, k.peak, k.demand.mean, k.piece.mean, k.priority})
 	}
 	return json.Marshal(&s)
--- a/dispatch/lists.go
+++ b/dispatch/lists.go
@@ -12,19 +12,19 @@
 const (
 	// maxEndsListed is the most ends in one answer.
 	maxEndsListed = 500
-	// foreignRetry is the pause between stop orders for a run that the owner did not expect.
-	foreignRetry = 500 * time.Millisecond
+	// unexpectedStopRetry is the pause between stop orders for a run that the owner did not expect.
+	unexpectedStopRetry = 500 * time.Millisecond
 )
 
 // full reports whether the worker may have more ends than it has reported.
-func (r HoldReply) full() bool { return len(r.Ended) >= maxEndsListed }
+func (r PollReply) full() bool { return len(r.Ended) >= maxEndsListed }
 
 // processEnds processes ends in the order of their numbers, each once.
-func (c *Core) takeEnds(w *worker, ends []EndedTask, now Instant) {
+func (c *Core) processEnds(w *worker, ends []EndedTask, now Instant) {
 	slices.SortFunc(ends, func(a, b EndedTask) int { return int(a.Number) - int(b.Number) })
 	for i := range ends {
-		if e := &ends[i]; e.Number > w.processed {
-			w.processed = e.Number
+		if e := &ends[i]; e.Number > w.processedEnd {
+			w.processedEnd = e.Number
 			c.takeEnd(w, e, now)
 		}
 	}
@@ -32,19 +32,19 @@
 
 // advanceStoredEnd moves the mark up to which ends may be forgotten past those
 // whose effect the store holds.
-func (w *worker) advanceSeen() {
+func (w *worker) advanceStoredEnd() {
 	for len(w.ends) > 0 {
 		e := w.ends[0]
 		if e.job != nil && e.job.persisted < e.version {
 			return
 		}
-		w.seen = e.number
+		w.storedEnd = e.number
 		w.ends = w.ends[1:]
 	}
 }
 
 // compareRunning compares the worker's list of runs with the expected ones.
-func (c *Core) takeRunning(w *worker, reply HoldReply, now Instant) {
+func (c *Core) compareRunning(w *worker, reply PollReply, now Instant) {
 	listed := make(map[*attempt]bool, len(reply.Running))
 	seenForeign := map[job.TaskID]bool{}
 	for i := range reply.Running {
@@ -52,22 +52,22 @@
 		t := c.findTask(row.Task)
 		a := c.matchRow(w, t, row, now)
 		if a == nil {
-			c.stopForeign(w, row, now)
+			c.stopUnexpected(w, row, now)
 			seenForeign[row.Task] = true
 			continue
 		}
 		listed[a] = true
 		c.confirm(a, row, reply.ClockMS, now)
 	}
-	for id := range w.foreign {
+	for id := range w.unexpected {
 		if !seenForeign[id] {
-			delete(w.foreign, id)
+			delete(w.unexpected, id)
 			c.refusals.opened(w, false)
 		}
 	}
 	for _, a := range slices.Clone(w.attempts) {
 		if !listed[a] {
-			c.missing(a, reply, now)
+			c.handleMissing(a, reply, now)
 		}
 	}
 	c.observe(w, now)
@@ -120,7 +120,7 @@
 		t.step.gangRun = row.Run
 	}
 	w.add(a)
-	c.tellTask("run_adopted", t, w, row.Run, "listed in the first answer")
+	c.logTask("run_adopted", t, w, row.Run, "listed in the first answer")
 	return a
 }
 
@@ -152,14 +152,14 @@
 // One such list proves nothing: its clock is that of the answer, and a worker may
 // have gathered it just before it carried out the start. So it takes a second
 // list, from a poll that was sent after the first was read.
-func (c *Core) missing(a *attempt, reply HoldReply, now Instant) {
+func (c *Core) handleMissing(a *attempt, reply PollReply, now Instant) {
 	if a.ackClock == 0 && reply.ClockMS <= a.deadline {
 		return // the start order may still arrive
 	}
 	if a.ackClock > 0 && reply.ClockMS <= a.ackClock {
 		return // the list is older than the run
 	}
-	if a.worker.follows && !a.worker.synced {
+	if a.worker.hasPredecessor && !a.worker.synced {
 		return // an order to the previous incarnation may still arrive
 	}
 	if reply.full() {
@@ -169,7 +169,7 @@
 		a.missed, a.missedAt = true, now.Steady
 		return
 	}
-	if a.worker.holdSent < a.missedAt {
+	if a.worker.pollSent < a.missedAt {
 		return
 	}
 	reason, since := "not listed after its start's deadline", a.deadline
@@ -177,7 +177,7 @@
 		reason, since = "no longer listed", a.ackClock
 	}
 	c.stats.Unanswered++
-	c.tellGivenUp("run_missing", a, reason, fmt.Sprintf("worker's clock %d after %d, try %d", reply.ClockMS, since, a.tries), now.Steady-a.started)
+	c.logGivenUp("run_missing", a, reason, fmt.Sprintf("worker's clock %d after %d, try %d", reply.ClockMS, since, a.tries), now.Steady-a.started)
 	c.release(a, now)
 }
 
@@ -193,7 +193,7 @@
 
 // logUnexpected logs a run that the owner did not expect, and the term that started
 // it: a run of this term was given up too early.
-func (c *Core) tellUnexpected(w *worker, row *RunningTask) {
+func (c *Core) logUnexpected(w *worker, row *RunningTask) {
 	reason := "stopped; of an earlier term"
 	if row.Run>>runBits == c.term {
 		reason = "stopped; of this term, given up before"
@@ -202,17 +202,17 @@
 	c.trace(Decision{Event: "run_unexpected", Job: row.Task.Job, Task: row.Task, Run: row.Run, Worker: w.info.ID, Reason: reason})
 }
 
-// stopForeign stops a run that the owner does not expect at a worker.
-func (c *Core) stopForeign(w *worker, row *RunningTask, now Instant) {
-	f := w.foreign[row.Task]
+// stopUnexpected stops a run that the owner does not expect at a worker.
+func (c *Core) stopUnexpected(w *worker, row *RunningTask, now Instant) {
+	f := w.unexpected[row.Task]
 	if f.run != row.Run {
-		f = foreignRun{run: row.Run, askAt: now.Steady}
-		c.tellUnexpected(w, row)
+		f = unexpectedRun{run: row.Run, askAt: now.Steady}
+		c.logUnexpected(w, row)
 	}
 	f.amount, f.unsized = c.sizeOf(row.Task)
 	if now.Steady >= f.askAt {
-		f.askAt = now.Steady + foreignRetry
+		f.askAt = now.Steady + unexpectedStopRetry
 		c.out = append(c.out, Order{Kind: OrderStop, Worker: w.info.ID, Address: w.info.Address, Token: c.tokenOf(w), Task: row.Task, Run: row.Run})
 	}
-	w.foreign[row.Task] = f
+	w.unexpected[row.Task] = f
 }
--- a/dispatch/lives.go
+++ b/dispatch/lives.go
@@ -70,7 +70,7 @@
 // is found under the worker's id, since calls name only the id: once an incarnation has
 // answered a call, it refuses those sent before it was known.
 func (c *Core) tokenOf(w *worker) uint64 {
-	n := c.names[w.info.ID.Name()]
+	n := c.incarnationsByName[w.info.ID.Name()]
 	if n == nil {
 		return c.term // it was dropped meanwhile
 	}
@@ -80,10 +80,10 @@
 // addToName adds an incarnation to those under its worker's id.
 func (c *Core) addToName(w *worker) {
 	id := w.info.ID
-	n := c.names[id.Name()]
+	n := c.incarnationsByName[id.Name()]
 	if n == nil {
 		n = &sameIDIncarnations{newest: id}
-		c.names[id.Name()] = n
+		c.incarnationsByName[id.Name()] = n
 	}
 	if n.newest != id {
 		n.newest = id
@@ -93,24 +93,24 @@
 		c.trace(Decision{Event: "deposed", Worker: id, Reason: "the term has no fencing token left for its next incarnation"})
 		c.deposed = true
 	}
-	w.follows = n.generation > 0
+	w.hasPredecessor = n.generation > 0
 	n.incarnations = append(n.incarnations, w)
 }
 
 // removeFromName is the opposite of addToName. The token stays unchanged.
 func (c *Core) removeFromName(w *worker) {
 	name := w.info.ID.Name()
-	n := c.names[name]
+	n := c.incarnationsByName[name]
 	n.incarnations = slices.DeleteFunc(n.incarnations, func(o *worker) bool { return o == w })
 	if len(n.incarnations) == 0 && n.generation == 0 {
-		delete(c.names, name)
+		delete(c.incarnationsByName, name)
 	}
 }
 
 // otherIncarnations returns the other known incarnations under a worker's id and on its VM.
 func (c *Core) otherIncarnations(w *worker) []*worker {
 	var list []*worker
-	for _, known := range [][]*worker{c.names[w.info.ID.Name()].incarnations, c.lives[w.info.VM]} {
+	for _, known := range [][]*worker{c.incarnationsByName[w.info.ID.Name()].incarnations, c.incarnations[w.info.VM]} {
 		for _, other := range known {
 			if other != w && !slices.Contains(list, other) {
 				list = append(list, other)
@@ -122,7 +122,7 @@
 
 // successor returns the incarnation that follows a worker under its id, as far as is known.
 func (c *Core) successor(w *worker) *worker {
-	n := c.names[w.info.ID.Name()]
+	n := c.incarnationsByName[w.info.ID.Name()]
 	if next := c.workers[n.newest]; next != nil && next != w {
 		return next
 	}
@@ -136,28 +136,28 @@
 
 // handleRestart handles a poll that was answered by another incarnation, under the same id,
 // than the one it was sent to.
-func (c *Core) handleRestart(w *worker, reply HoldReply, now Instant) {
+func (c *Core) handleRestart(w *worker, reply PollReply, now Instant) {
 	id := IncarnationID(w.info.ID.Name(), reply.Born)
 	c.stats.Restarts++
 	c.trace(Decision{
 		Event: "worker_restarted", Worker: id, Reason: "before: " + string(w.info.ID),
-		Detail: fmt.Sprintf("clock %d after %d, %d ends listed, %d processed before", reply.ClockMS, w.clock, len(reply.Ended), w.processed),
+		Detail: fmt.Sprintf("clock %d after %d, %d ends listed, %d processed before", reply.ClockMS, w.clock, len(reply.Ended), w.processedEnd),
 	})
 	c.addSuccessor(w, id, now)
-	c.names[id.Name()].newest = id
-	c.lifeOver(w, "another life answers under its id", now)
+	c.incarnationsByName[id.Name()].newest = id
+	c.endIncarnation(w, "another life answers under its id", now)
 }
 
 // addSuccessor adds the incarnation that follows a worker under its id, unless it is known
 // or has ended too.
 func (c *Core) addSuccessor(w *worker, id WorkerID, now Instant) {
-	if c.over[id] || c.workers[id] != nil {
+	if c.ended[id] || c.workers[id] != nil {
 		return
 	}
 	info := w.info
 	info.ID, info.Draining, info.Leaving = id, false, 0
 	c.addWorker(info, now)
-	c.roster.want(info) // what the previous incarnation's entry lists may run here
+	c.roster.ensure(info) // what the previous incarnation's entry lists may run here
 }
 
 // transferRuns transfers the runs that the next incarnation under a worker's id may carry out,
@@ -197,13 +197,13 @@
 // acknowledgement meant for the previous one. It may forget as many of its own ends before they
 // are read, and nothing would show whether a run that it no longer lists is done.
 func (c *Core) excludeForAcknowledgement(w, next *worker) {
-	if w.ackUnanswered == 0 || next.endsDoubted {
+	if w.unansweredAck == 0 || next.endsUncertain {
 		return
 	}
-	next.endsDoubted = true
+	next.endsUncertain = true
 	c.trace(Decision{
 		Event: "ends_doubted", Worker: next.info.ID, Reason: "an acknowledgement meant for the previous incarnation was not answered by it",
-		Detail: fmt.Sprintf("of ends up to %d", w.ackUnanswered),
+		Detail: fmt.Sprintf("of ends up to %d", w.unansweredAck),
 	})
 }
 
@@ -212,7 +212,7 @@
 // carry out a start of this owner although the other owner has read the previous incarnation.
 // An answer may be read long after it was given, so the time when its poll was sent counts.
 func (c *Core) mayHaveRestarted(w *worker, now Instant) bool {
-	return !c.certain(now) && w.info.ID.Born() != 0 && now.Steady-w.answeredSent > lifeFresh
+	return !c.holdsLease(now) && w.info.ID.Born() != 0 && now.Steady-w.answeredPollSent > incarnationFresh
 }
 
 // moveTo moves an attempt to the next incarnation. The lists that are read under that one's
@@ -240,7 +240,7 @@
 	if !ok || next.synced {
 		return
 	}
-	if w.heardAt == 0 && from.Born() != 0 {
+	if w.lastContact == 0 && from.Born() != 0 {
 		c.recordUnreadLoss(u)
 	}
 	known, ok := c.unresolved[next.info.ID]
--- a/dispatch/lives_test.go
+++ b/dispatch/lives_test.go
@@ -7,7 +7,7 @@
 
 // recoveredCore returns a core that has taken over with a roster of these workers.
 func recoveredCore(now Instant, roster ...RosterEntry) *Core {
-	core := sureCore(Params{RecoveryWait: 10 * time.Second}, 2, now)
+	core := leasedCore(Params{RecoveryWait: 10 * time.Second}, 2, now)
 	core.Recover(roster, now)
 	return core
 }
@@ -18,8 +18,8 @@
 
 // poll sends a poll and delivers its reply later.
 func poll(core *Core, id WorkerID, sent, answered time.Duration) {
-	order := core.PlanHold(id, Instant{Steady: sent}).Order
-	core.HoldDone(order, HoldReply{ClockMS: answered.Milliseconds()}, OutcomeOK, Instant{Steady: answered})
+	order := core.PlanPoll(id, Instant{Steady: sent}).Order
+	core.PollDone(order, PollReply{ClockMS: answered.Milliseconds()}, OutcomeOK, Instant{Steady: answered})
 }
 
 // TestNextIncarnationOnAVMEndsThePreviousOne: after maintenance or a crash the roster names an
@@ -46,10 +46,10 @@
 	now := Instant{Steady: time.Second}
 	core := recoveredCore(now)
 	core.SetWorkers([]WorkerInfo{testWorkerInfo("first", "m1")}, now)
-	order := core.PlanHold("first", Instant{Steady: 2 * time.Second}).Order
+	order := core.PlanPoll("first", Instant{Steady: 2 * time.Second}).Order
 	core.SetWorkers([]WorkerInfo{testWorkerInfo("second", "m1")}, Instant{Steady: 3 * time.Second})
 	poll(core, "second", 3100*time.Millisecond, 3110*time.Millisecond)
-	core.HoldDone(order, HoldReply{ClockMS: 2000}, OutcomeOK, Instant{Steady: 4 * time.Second})
+	core.PollDone(order, PollReply{ClockMS: 2000}, OutcomeOK, Instant{Steady: 4 * time.Second})
 	if core.workers["second"] == nil {
 		t.Fatal("the later incarnation was given up")
 	}
--- a/dispatch/longidle_test.go
+++ b/dispatch/longidle_test.go
@@ -12,13 +12,13 @@
 	now := Instant{Steady: time.Second}
 	core := New(Params{MaxTaskLease: 6 * time.Second, TaskLease: 3 * time.Second, OwnerTTL: 2500 * time.Millisecond, OwnerHorizon: 12 * time.Second}, 2, nil)
 	core.Renewed(now.Steady)
-	core.SetConfig(sureCore(Params{}, 1, now).config)
+	core.SetConfig(leasedCore(Params{}, 1, now).config)
 	core.SetWorkers([]WorkerInfo{testWorkerInfo("w1", "m1")}, now)
 	rosterOf(t, core)
 	for end := now.Steady + idle; now.Steady < end; now.Steady += idlePause {
 		core.Renewed(now.Steady)
-		if plan := core.PlanHold("w1", now); plan.Send {
-			core.HoldDone(plan.Order, HoldReply{ClockMS: now.Steady.Milliseconds()}, OutcomeOK, now)
+		if plan := core.PlanPoll("w1", now); plan.Send {
+			core.PollDone(plan.Order, PollReply{ClockMS: now.Steady.Milliseconds()}, OutcomeOK, now)
 		}
 	}
 	core.Renewed(now.Steady)
@@ -49,7 +49,7 @@
 
 // If a worker refuses a start without a deadline in an answer that reports no clock, its clock
 // must be read before the next start.
-func TestStartsAfterLongIdlenessGoOn(t *testing.T) {
+func TestStartsContinueAfterLongIdleness(t *testing.T) {
 	core, now := longIdleCore(t, 11*time.Minute)
 	core.AddJob(simpleJob(1, 1), nil, false, now)
 	refused := 0
@@ -64,8 +64,8 @@
 			refused++
 			core.OrderDone(o, Answer{Outcome: OutcomeInvalid}, Instant{Steady: now.Steady + 2*time.Millisecond})
 		}
-		if plan := core.PlanHold("w1", Instant{Steady: now.Steady + 5*time.Millisecond}); plan.Send {
-			core.HoldDone(plan.Order, HoldReply{ClockMS: now.Steady.Milliseconds() + 6}, OutcomeOK, Instant{Steady: now.Steady + 6*time.Millisecond})
+		if plan := core.PlanPoll("w1", Instant{Steady: now.Steady + 5*time.Millisecond}); plan.Send {
+			core.PollDone(plan.Order, PollReply{ClockMS: now.Steady.Milliseconds() + 6}, OutcomeOK, Instant{Steady: now.Steady + 6*time.Millisecond})
 		}
 		now.Steady += 100 * time.Millisecond
 	}
--- a/dispatch/lostlife.go
+++ b/dispatch/lostlife.go
@@ -80,7 +80,7 @@
 // connection of the start's first copy was broken and no poll was answered since. A call that
 // merely was not answered may never have reached the worker.
 func (a *attempt) confirmed() bool {
-	return a.ackClock > 0 || a.listed || a.brokenAt > 0 && a.brokenAt >= a.worker.lastAnswer
+	return a.ackClock > 0 || a.listed || a.brokenAt > 0 && a.brokenAt >= a.worker.lastPollAnswer
 }
 
 // lostIncarnationOf returns the record of a worker whose runs are about to be lost.
@@ -108,8 +108,8 @@
 // recoverLost records the recently started runs of a roster entry: if the incarnation proves
 // to have ended, it crashed under the previous owner.
 func (c *Core) recoverLost(e RosterEntry, now Instant) {
-	if e.VM != "" && len(e.Young) > 0 {
-		c.lostLives[e.VM] = lostIncarnation{id: e.ID, end: endCrashed, loss: contactLoss{now.Steady, true}, runs: e.Young, inherited: true, at: now.Steady}
+	if e.VM != "" && len(e.RecentRuns) > 0 {
+		c.lostIncarnations[e.VM] = lostIncarnation{id: e.ID, end: endCrashed, loss: contactLoss{now.Steady, true}, runs: e.RecentRuns, inherited: true, at: now.Steady}
 	}
 }
 
@@ -122,17 +122,17 @@
 	}
 	c.dropUnsettled(vm)
 	l.unsettled = true
-	c.lostLives[vm] = l
+	c.lostIncarnations[vm] = l
 	c.addUnsettled(l, 1)
 }
 
 // dropUnsettled drops the lost incarnation of a VM and returns it.
 func (c *Core) dropUnsettled(vm string) (lostIncarnation, bool) {
-	l, ok := c.lostLives[vm]
+	l, ok := c.lostIncarnations[vm]
 	if !ok {
 		return l, false
 	}
-	delete(c.lostLives, vm)
+	delete(c.lostIncarnations, vm)
 	if l.unsettled {
 		c.addUnsettled(l, -1)
 	}
@@ -158,7 +158,7 @@
 
 // forgetOldCrashes drops records of VMs that are older than their limits.
 func (c *Core) forgetOldCrashes(now Instant) {
-	for vm, l := range c.lostLives {
+	for vm, l := range c.lostIncarnations {
 		if now.Steady-l.at > lostIncarnationKept {
 			c.dropUnsettled(vm)
 		}
@@ -223,9 +223,9 @@
 func (c *Core) setPossibleCrashes(t *task, runs []uint64) {
 	switch {
 	case len(t.doubts) == 0 && len(runs) > 0:
-		c.doubtful++
+		c.possibleCrashTasks++
 	case len(t.doubts) > 0 && len(runs) == 0:
-		c.doubtful--
+		c.possibleCrashTasks--
 	}
 	t.doubts = runs
 }
@@ -233,7 +233,7 @@
 // recoverPossibleCrashes records a possible crash for each task that may have run at workers
 // lost under earlier owners.
 func (c *Core) recoverPossibleCrashes(j *jobState, now Instant) {
-	if c.lostUnheard.none() {
+	if c.lostUnread.none() {
 		return
 	}
 	for _, s := range j.steps {
@@ -241,7 +241,7 @@
 			continue
 		}
 		for _, t := range s.tasks {
-			if t.phase != phaseDone && t.suspect() == t && t.crashes == 0 && c.lostUnheard.has(t) {
+			if t.phase != phaseDone && t.suspect() == t && t.crashes == 0 && c.lostUnread.has(t) {
 				c.addPossibleCrash(t, (c.term-1)<<runBits)
 			}
 		}
--- a/dispatch/members.go
+++ b/dispatch/members.go
@@ -12,11 +12,11 @@
 // one may be carried out after those of the next. Only a worker's own answer does.
 func (c *Core) SetWorkers(list []WorkerInfo, now Instant) {
 	c.listedAt = now.Steady
-	c.reach.changed()
+	c.reach.invalidate()
 	listed := make(map[WorkerID]bool, len(list))
 	for _, info := range list {
 		listed[info.ID] = true
-		if c.over[info.ID] {
+		if c.ended[info.ID] {
 			continue // its entry has not expired yet, or was written late
 		}
 		w := c.workers[info.ID]
@@ -34,12 +34,12 @@
 		w.coldUntil = now.Steady + info.Cold
 		w.listed = true
 		if c.services[info.Service] {
-			c.roster.want(info)
+			c.roster.ensure(info)
 		}
 	}
-	for id := range c.over {
+	for id := range c.ended {
 		if !listed[id] {
-			delete(c.over, id)
+			delete(c.ended, id)
 		}
 	}
 	for id, w := range c.workers {
@@ -57,26 +57,26 @@
 
 // addWorker adds an incarnation of a worker that was not known before.
 func (c *Core) addWorker(info WorkerInfo, now Instant) *worker {
-	w := &worker{info: info, knownAt: now.Steady, squeeze: 1, foreign: map[job.TaskID]foreignRun{}}
+	w := &worker{info: info, knownAt: now.Steady, paceScale: 1, unexpected: map[job.TaskID]unexpectedRun{}}
 	c.workers[info.ID] = w
 	if info.VM != "" {
-		c.lives[info.VM] = append(c.lives[info.VM], w)
+		c.incarnations[info.VM] = append(c.incarnations[info.VM], w)
 	}
 	c.addToName(w)
-	c.join(w)
+	c.addToIndexes(w)
 	return w
 }
 
 // addToIndexes inserts a worker into the lists of all workers, of its service's and of
 // its rack's workers, each ordered by id.
-func (c *Core) join(w *worker) {
+func (c *Core) addToIndexes(w *worker) {
 	c.order = insertWorker(c.order, w)
 	c.members[w.info.Service] = insertWorker(c.members[w.info.Service], w)
 	c.racks[w.info.Rack] = insertWorker(c.racks[w.info.Rack], w)
 }
 
 // removeFromIndexes is the opposite of addToIndexes.
-func (c *Core) leave(w *worker) {
+func (c *Core) removeFromIndexes(w *worker) {
 	c.order = removeWorker(c.order, w)
 	c.members[w.info.Service] = removeWorker(c.members[w.info.Service], w)
 	if c.racks[w.info.Rack] = removeWorker(c.racks[w.info.Rack], w); len(c.racks[w.info.Rack]) == 0 {
@@ -105,9 +105,9 @@
 func (c *Core) setInfo(w *worker, info WorkerInfo) {
 	before := w.info
 	if before.Service != info.Service || before.Rack != info.Rack {
-		c.leave(w)
+		c.removeFromIndexes(w)
 		w.info = info
-		c.join(w)
+		c.addToIndexes(w)
 	}
 	w.info = info
 	grown := info.CPUMilli > before.CPUMilli || info.MemoryMiB > before.MemoryMiB || info.Accelerators > before.Accelerators
--- a/dispatch/missing_test.go
+++ b/dispatch/missing_test.go
@@ -6,46 +6,46 @@
 )
 
 // lacking answers a poll, sent now, with a list without running tasks.
-func lacking(core *Core, now *Instant, clock int64, ended ...EndedTask) {
-	order := core.PlanHold("w0", *now).Order
+func answerWithoutRuns(core *Core, now *Instant, clock int64, ended ...EndedTask) {
+	order := core.PlanPoll("w0", *now).Order
 	now.Steady += 10 * time.Millisecond
-	core.HoldDone(order, HoldReply{ClockMS: clock, Ended: ended}, OutcomeOK, *now)
+	core.PollDone(order, PollReply{ClockMS: clock, Ended: ended}, OutcomeOK, *now)
 }
 
 // These are the conditions under which lists prove that a started run has ended although its end
 // was not reported. A looser rule starts a task again while it runs.
-func TestListsThatLackARun(t *testing.T) {
+func TestListsWithoutStartedRun(t *testing.T) {
 	for name, c := range map[string]struct {
 		confirmed bool
 		lists     func(core *Core, now *Instant, deadline int64)
 		over      bool
 	}{
-		"one list": {true, func(core *Core, now *Instant, _ int64) { lacking(core, now, 1100) }, false},
+		"one list": {true, func(core *Core, now *Instant, _ int64) { answerWithoutRuns(core, now, 1100) }, false},
 		"two lists": {true, func(core *Core, now *Instant, _ int64) {
-			lacking(core, now, 1100)
-			lacking(core, now, 1200)
+			answerWithoutRuns(core, now, 1100)
+			answerWithoutRuns(core, now, 1200)
 		}, true},
 		"two lists, the second asked for before the first came": {true, func(core *Core, now *Instant, _ int64) {
-			second := core.PlanHold("w0", *now).Order
-			lacking(core, now, 1100)
-			core.workers["w0"].holdSent = now.Steady - time.Millisecond
-			core.HoldDone(second, HoldReply{ClockMS: 1200}, OutcomeOK, *now)
+			second := core.PlanPoll("w0", *now).Order
+			answerWithoutRuns(core, now, 1100)
+			core.workers["w0"].pollSent = now.Steady - time.Millisecond
+			core.PollDone(second, PollReply{ClockMS: 1200}, OutcomeOK, *now)
 		}, false},
 		"lists of the moment of its start": {true, func(core *Core, now *Instant, _ int64) {
-			lacking(core, now, 1001)
-			lacking(core, now, 1001)
+			answerWithoutRuns(core, now, 1001)
+			answerWithoutRuns(core, now, 1001)
 		}, false},
 		"full lists": {true, func(core *Core, now *Instant, _ int64) {
-			lacking(core, now, 1100, fullEnds()...)
-			lacking(core, now, 1200, fullEnds()...)
+			answerWithoutRuns(core, now, 1100, fullEnds()...)
+			answerWithoutRuns(core, now, 1200, fullEnds()...)
 		}, false},
 		"before the deadline of a start without an answer": {false, func(core *Core, now *Instant, deadline int64) {
-			lacking(core, now, deadline-1)
-			lacking(core, now, deadline)
+			answerWithoutRuns(core, now, deadline-1)
+			answerWithoutRuns(core, now, deadline)
 		}, false},
 		"after the deadline of a start without an answer": {false, func(core *Core, now *Instant, deadline int64) {
-			lacking(core, now, deadline+1)
-			lacking(core, now, deadline+2)
+			answerWithoutRuns(core, now, deadline+1)
+			answerWithoutRuns(core, now, deadline+2)
 		}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/dispatch/olderlist_test.go
+++ b/dispatch/olderlist_test.go
@@ -21,10 +21,10 @@
 		t.Fatalf("%d starts", len(first))
 	}
 	now.Steady += time.Millisecond
-	poll := core.PlanHold(first[0].Worker, now).Order
+	poll := core.PlanPoll(first[0].Worker, now).Order
 	now.Steady += 5 * time.Millisecond // the poll is on its way as the start is carried out
 	core.OrderDone(first[0], Answer{Outcome: OutcomeOK, ClockMS: 1005}, now)
-	core.HoldDone(poll, HoldReply{ClockMS: 1006}, OutcomeOK, now)
+	core.PollDone(poll, PollReply{ClockMS: 1006}, OutcomeOK, now)
 	core.Tick(now)
 	if n := len(starts(core)); n != 0 {
 		t.Errorf("%d more starts of a task that runs", n)
--- a/dispatch/onlyonce_test.go
+++ b/dispatch/onlyonce_test.go
@@ -19,7 +19,7 @@
 		t.Fatalf("%d starts, want 1", len(list))
 	}
 	core.OrderDone(list[0], Answer{Outcome: OutcomeOK, ClockMS: 1001}, now)
-	core.certainUntil, core.validUntil = now.Steady+2*time.Second, now.Steady+10*time.Second
+	core.leaseHeldUntil, core.validUntil = now.Steady+2*time.Second, now.Steady+10*time.Second
 	return core, now, list[0]
 }
 
@@ -31,7 +31,7 @@
 			core.OrderDone(o, Answer{Outcome: OutcomeFenced, ClockMS: 1002}, *now)
 		},
 		"fenced by a poll": func(core *Core, now *Instant, o Order) {
-			core.HoldDone(HoldOrder{Worker: o.Worker, Token: o.Token}, HoldReply{}, OutcomeFenced, *now)
+			core.PollDone(PollRequest{Worker: o.Worker, Token: o.Token}, PollReply{}, OutcomeFenced, *now)
 		},
 		"horizon": func(core *Core, now *Instant, _ Order) { now.Steady = core.validUntil },
 	} {
@@ -49,8 +49,8 @@
 // the lease is held for certain, since another owner may know how the run ended.
 func TestTaskWhoseEndIsUnknownAwaitsASureLease(t *testing.T) {
 	core, now, o := runningTask(t)
-	core.lose(core.workers[o.Worker], "its leases are over", now)
-	now.Steady = core.certainUntil
+	core.releaseAllLost(core.workers[o.Worker], "its leases are over", now)
+	now.Steady = core.leaseHeldUntil
 	core.Schedule(now)
 	if list := starts(core); len(list) > 0 {
 		t.Error("it starts again while the lease is not held for certain")
@@ -66,7 +66,7 @@
 // elsewhere. The later one is stopped and the task does not start again.
 func TestEarlierRunThatIsDoneEndsTheTask(t *testing.T) {
 	core, now, o := runningTask(t)
-	core.lose(core.workers[o.Worker], "its leases are over", now)
+	core.releaseAllLost(core.workers[o.Worker], "its leases are over", now)
 	core.Schedule(now)
 	list := starts(core)
 	if len(list) != 1 || list[0].Worker == o.Worker {
@@ -100,7 +100,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := Instant{Steady: time.Second}
-			core := sureCore(Params{}, 2, now)
+			core := leasedCore(Params{}, 2, now)
 			core.Recover([]RosterEntry{{ID: "w0", Address: "w0"}}, now)
 			spec := simpleJob(1, 2)
 			p := progress(spec)
@@ -112,8 +112,8 @@
 			row := RunningTask{Task: job.TaskID{Job: spec.ID}, Run: 1<<runBits | 1, Percent: 10}
 			stops := 0
 			for i := range 8 {
-				now.Steady += foreignRetry / 4
-				core.HoldDone(core.PlanHold("w0", now).Order, HoldReply{ClockMS: 1000 + int64(i), Running: []RunningTask{row}}, OutcomeOK, now)
+				now.Steady += unexpectedStopRetry / 4
+				core.PollDone(core.PlanPoll("w0", now).Order, PollReply{ClockMS: 1000 + int64(i), Running: []RunningTask{row}}, OutcomeOK, now)
 				for _, o := range core.TakeOrders() {
 					if o.Kind == OrderStop && o.Task == row.Task && o.Run == row.Run {
 						stops++
@@ -134,7 +134,7 @@
 // have been carried out, so the refusal of a later copy must not release the task.
 func TestRefusedCopyProvesNothing(t *testing.T) {
 	for _, unanswered := range []bool{false, true} {
-		for _, refusal := range []Outcome{OutcomeOld, OutcomeNoRoom, OutcomeUnwell, OutcomeLate} {
+		for _, refusal := range []Outcome{OutcomeOld, OutcomeNoCapacity, OutcomeUnwell, OutcomeLate} {
 			core, now := idleCore(t, 2)
 			core.AddJob(simpleJob(1, 1), nil, false, now)
 			core.Schedule(now)
@@ -170,8 +170,8 @@
 // the lease is held for certain: the next owner may have read how they ended.
 func TestEndOfALifeIsConcludedUnderASureLease(t *testing.T) {
 	core, now, o := runningTask(t)
-	now.Steady = core.certainUntil
-	core.HoldDone(HoldOrder{Worker: o.Worker}, HoldReply{}, OutcomeOtherLife, now)
+	now.Steady = core.leaseHeldUntil
+	core.PollDone(PollRequest{Worker: o.Worker}, PollReply{}, OutcomeOtherIncarnation, now)
 	core.Tick(now)
 	if core.findTask(o.Task).attempt == nil {
 		t.Error("its run counts as ended while the lease is not held for certain")
--- a/dispatch/openness.go
+++ b/dispatch/openness.go
@@ -53,7 +53,7 @@
 				open += weight
 			}
 		}
-		w.openness = open / total
+		w.fillAcceptance = open / total
 	}
 }
 
--- a/dispatch/orders.go
+++ b/dispatch/orders.go
@@ -14,10 +14,10 @@
 	stopRetry = 1 * time.Second
 	// fullPace is a task's pace at its start, in percent. The pace is a run's CPU share limit.
 	fullPace = 100
-	// fullPause is how long a worker gets no tasks after it had no capacity.
-	fullPause = 300 * time.Millisecond
-	// unwellPause is how long a task waits after a worker rejected its start as malformed.
-	unwellPause = 1 * time.Second
+	// noCapacityPause is how long a worker gets no tasks after it had no capacity.
+	noCapacityPause = 300 * time.Millisecond
+	// invalidPause is how long a task waits after a worker rejected its start as malformed.
+	invalidPause = 1 * time.Second
 )
 
 // start places a run of a task at a worker, and orders it or has it recorded first.
@@ -64,7 +64,7 @@
 	}
 	a.stopping = true
 	a.task.phase = phaseOf(a.task, phaseStopping)
-	c.tellTask("run_stop", a.task, a.worker, a.run, reason)
+	c.logTask("run_stop", a.task, a.worker, a.run, reason)
 	c.sendStop(a, now)
 }
 
@@ -95,17 +95,17 @@
 		return
 	}
 	switch ans.Outcome {
-	case OutcomeOtherLife:
-		c.lifeOver(w, "another life answers", now)
+	case OutcomeOtherIncarnation:
+		c.endIncarnation(w, "another life answers", now)
 		return
 	case OutcomeUnknown, OutcomeBroken:
-		w.unanswered++
+		w.unansweredCalls++
 		w.recordNoAnswer(ans.Outcome, now)
 	case OutcomeNotSent:
 	default:
-		w.unanswered = 0
+		w.unansweredCalls = 0
 		w.recordAnswer(now)
-		w.noteClock(ans.ClockMS, now)
+		w.recordClock(ans.ClockMS, now)
 	}
 	t := c.findTask(o.Task)
 	if t == nil || t.attempt == nil || t.attempt.worker != w || t.attempt.run != o.Run {
@@ -125,13 +125,13 @@
 	switch ans.Outcome {
 	case OutcomeOK:
 		a.ackClock, a.missed = max(a.ackClock, ans.ClockMS), false
-		a.worker.sureDeadline = max(a.worker.sureDeadline, o.DeadlineMS)
+		a.worker.confirmedDeadline = max(a.worker.confirmedDeadline, o.DeadlineMS)
 		c.markBegun(a.task.step.job)
 		if a.task.phase == phaseStarting {
 			a.task.phase = phaseRunning
 			a.started = now.Steady
 		}
-		c.tellTask(eventStarted, a.task, a.worker, a.run, "")
+		c.logTask(eventStarted, a.task, a.worker, a.run, "")
 	case OutcomeUnknown, OutcomeBroken:
 		if a.tries == 1 && ans.Outcome == OutcomeBroken && !ans.Unsent {
 			a.brokenAt = now.Steady
@@ -148,7 +148,7 @@
 	c.stats.Unanswered++
 	again := a.ackClock == 0 && !a.stopping && a.tries < maxStartTries && a.worker.clockNow(now) < a.deadline &&
 		!a.worker.info.Draining && !c.evacuated[a.worker.info.DataCentre]
-	c.tellTask("start_unanswered", a.task, a.worker, a.run, "")
+	c.logTask("start_unanswered", a.task, a.worker, a.run, "")
 	if !again {
 		return // the next list after the deadline decides
 	}
@@ -161,15 +161,15 @@
 // answered, that copy may still be carried out: then a list decides.
 func (c *Core) startRefused(a *attempt, ans Answer, now Instant) {
 	c.stats.Refused++
-	c.tellGivenUp("start_refused", a, ans.Outcome.String(), fmt.Sprintf("try %d", a.tries), now.Steady-a.started)
+	c.logGivenUp("start_refused", a, ans.Outcome.String(), fmt.Sprintf("try %d", a.tries), now.Steady-a.started)
 	w := a.worker
 	switch ans.Outcome {
-	case OutcomeNoRoom:
-		w.fullUntil = now.Steady + fullPause
+	case OutcomeNoCapacity:
+		w.fullUntil = now.Steady + noCapacityPause
 	case OutcomeUnwell:
 		c.avoidWorker(w, "it refuses work", now)
 	case OutcomeInvalid:
-		a.task.notBefore = now.Steady + unwellPause
+		a.task.notBefore = now.Steady + invalidPause
 		a.task.avoid = w.info.ID
 	case OutcomeNoTicket:
 		c.dropTicket(a)
--- a/dispatch/overload_test.go
+++ b/dispatch/overload_test.go
@@ -14,14 +14,14 @@
 		wait           time.Duration
 		starts, filled bool
 	}{
-		{0, holdWaitWatched, true, true},
-		{lateFewReadings, holdWait, true, true},
-		{lateNoFills, holdWait, true, false},
-		{lateNoStarts, holdWait, false, false},
-		{time.Minute, holdWait, false, false},
+		{0, pollWaitWatched, true, true},
+		{lateFewReadings, pollWaitDefault, true, true},
+		{lateNoFills, pollWaitDefault, true, false},
+		{lateNoStarts, pollWaitDefault, false, false},
+		{time.Minute, pollWaitDefault, false, false},
 	} {
 		core, now := idleCore(t, 1)
-		serving := lastingJob(1, 2)
+		serving := longRunningJob(1, 2)
 		serving.Steps[0].TargetMS, serving.Steps[0].Image = 50, "serve"
 		filling := simpleJob(2, 2)
 		filling.Steps[0].Fills, filling.Steps[0].CPUMilli = true, 100
@@ -34,7 +34,7 @@
 			running = append(running, RunningTask{Task: o.Task, Run: o.Run, Percent: fullPace})
 		}
 		busy := core.jobs[serving.ID].steps[0].tasks[0].attempt.worker.info.ID
-		core.HoldDone(core.PlanHold(busy, now).Order, HoldReply{ClockMS: 1001, Running: running}, OutcomeOK, now)
+		core.PollDone(core.PlanPoll(busy, now).Order, PollReply{ClockMS: 1001, Running: running}, OutcomeOK, now)
 
 		core.Late(x.late, now)
 		for id := 3; id <= 4; id++ {
@@ -50,7 +50,7 @@
 		if started[simpleJob(3, 1).ID] != x.starts || started[simpleJob(4, 1).ID] != x.filled {
 			t.Errorf("%v late: started %v", x.late, started)
 		}
-		plan := core.PlanHold(busy, now)
+		plan := core.PlanPoll(busy, now)
 		if !plan.Send || plan.Order.DeadlineMS == 0 || plan.Order.Wait != x.wait {
 			t.Errorf("owner %v late: poll %+v, want a lease and a wait of %v", x.late, plan, x.wait)
 		}
@@ -76,9 +76,9 @@
 	order := starts(core)[0]
 	core.OrderDone(order, Answer{ClockMS: 1001}, now)
 	fail := func() {
-		plan := core.PlanHold(order.Worker, now)
+		plan := core.PlanPoll(order.Worker, now)
 		now.Steady += time.Second
-		core.HoldDone(plan.Order, HoldReply{}, OutcomeUnknown, now)
+		core.PollDone(plan.Order, PollReply{}, OutcomeUnknown, now)
 	}
 	fail()
 	now.Steady += 10 * time.Second // all leases have expired
@@ -107,8 +107,8 @@
 func TestLateOwnerWaitsForThePreviousOnesWorkers(t *testing.T) {
 	now := Instant{Steady: time.Second}
 	core := recoveredCore(now, RosterEntry{ID: "w1", Address: "w1"})
-	plan := core.PlanHold("w1", now)
-	core.HoldDone(plan.Order, HoldReply{}, OutcomeUnknown, now)
+	plan := core.PlanPoll("w1", now)
+	core.PollDone(plan.Order, PollReply{}, OutcomeUnknown, now)
 	now.Steady += 11 * time.Second
 	core.Late(time.Second, now)
 	core.Tick(now)
@@ -116,8 +116,8 @@
 		t.Fatal("a late owner takes a worker's leases for expired")
 	}
 	now.Steady += time.Second
-	plan = core.PlanHold("w1", now)
-	core.HoldDone(plan.Order, HoldReply{}, OutcomeUnknown, now)
+	plan = core.PlanPoll("w1", now)
+	core.PollDone(plan.Order, PollReply{}, OutcomeUnknown, now)
 	core.Late(0, now)
 	core.Tick(now)
 	if core.Recovering() != 0 {
@@ -142,15 +142,15 @@
 			now.Steady += time.Second
 			for i, id := range core.Workers() {
 				w := core.workers[id]
-				plan := core.PlanHold(id, now)
-				reply, outcome := HoldReply{ClockMS: w.clockNow(now)}, OutcomeOK
+				plan := core.PlanPoll(id, now)
+				reply, outcome := PollReply{ClockMS: w.clockNow(now)}, OutcomeOK
 				for _, a := range w.attempts {
 					reply.Running = append(reply.Running, RunningTask{Task: a.task.id(), Run: a.run})
 				}
 				if i < silent {
-					reply, outcome = HoldReply{}, OutcomeUnknown
+					reply, outcome = PollReply{}, OutcomeUnknown
 				}
-				core.HoldDone(plan.Order, reply, outcome, now)
+				core.PollDone(plan.Order, reply, outcome, now)
 			}
 		}
 		core.Tick(now)
@@ -172,7 +172,7 @@
 	core.Schedule(now)
 	o := starts(core)[0]
 	core.OrderDone(o, Answer{Outcome: OutcomeNotSent}, now)
-	if w := core.workers[o.Worker]; w.unanswered != 0 || !(core.barrierOf(w, now) == barrierNone) {
+	if w := core.workers[o.Worker]; w.unansweredCalls != 0 || !(core.barrierOf(w, now) == barrierNone) {
 		t.Error("the worker is blamed for an order that was not sent")
 	}
 	core.Schedule(now)
--- a/dispatch/pace.go
+++ b/dispatch/pace.go
@@ -68,12 +68,12 @@
 // stay below their targets, and by the readings where the model is wrong.
 func (c *Core) pace(w *worker, now Instant) {
 	over := w.longestOver(now)
-	w.over = over
+	w.overTarget = over
 	switch {
 	case over > 0 && over >= c.shareOfOver(squeezeAfter):
-		w.squeeze = max(w.squeeze*squeezeFactor, 0.05)
+		w.paceScale = max(w.paceScale*squeezeFactor, 0.05)
 	case over == 0:
-		w.squeeze = min(w.squeeze*squeezeEase, 1)
+		w.paceScale = min(w.paceScale*squeezeEase, 1)
 	}
 	moves := 0
 	for _, p := range c.fillPaces(w, now) {
@@ -154,7 +154,7 @@
 func (a *attempt) paceDue(now Instant) bool {
 	since := now.Steady - a.paceAt
 	if a.percent != a.paced {
-		return since >= holdWaitWatched/2
+		return since >= pollWaitWatched/2
 	}
 	return a.paceDoubted > 0 && a.paceAt < a.paceDoubted+paceLate && since >= paceAgain
 }
--- a/dispatch/partlyread_test.go
+++ b/dispatch/partlyread_test.go
@@ -11,7 +11,7 @@
 // resolved by one unanswered poll once the previous owner's leases have expired. This happens if
 // the store is slow for longer than the recovery, so that the first 500 ends stay unacknowledged;
 // a task whose done end is acknowledged shortly afterwards would start again.
-func TestPartlyReadWorkerIsWaitedForWhileItsLeasesLast(t *testing.T) {
+func TestPartlyReadWorkerStaysUnresolvedUntilLeasesExpire(t *testing.T) {
 	now := Instant{Steady: time.Second}
 	core := recoveredCore(now, RosterEntry{ID: "w1", Address: "w1", VM: "m1"})
 	core.params.TaskLease = 3 * time.Second
@@ -22,27 +22,27 @@
 	var lease int64
 	for ; now.Steady < 11*time.Second; now.Steady += 500 * time.Millisecond {
 		poll(core, "w2", now.Steady, now.Steady+time.Millisecond)
-		order := core.PlanHold("w1", now).Order
+		order := core.PlanPoll("w1", now).Order
 		lease = max(lease, order.DeadlineMS)
-		core.HoldDone(order, HoldReply{ClockMS: now.Steady.Milliseconds(), Ended: fullEnds()}, OutcomeOK, now)
+		core.PollDone(order, PollReply{ClockMS: now.Steady.Milliseconds(), Ended: fullEnds()}, OutcomeOK, now)
 		core.Tick(now)
 	}
 	if n := len(starts(core)); n != 0 || core.Recovering() == 0 {
 		t.Fatalf("%d starts, %d workers unresolved", n, core.Recovering())
 	}
-	order := core.PlanHold("w1", now).Order
+	order := core.PlanPoll("w1", now).Order
 	lease = max(lease, order.DeadlineMS)
 	now.Steady += 600 * time.Millisecond
 	poll(core, "w2", now.Steady, now.Steady+time.Millisecond)
-	core.HoldDone(order, HoldReply{}, OutcomeUnknown, now)
+	core.PollDone(order, PollReply{}, OutcomeUnknown, now)
 	core.Tick(now)
 	core.Schedule(now)
 	if n := len(starts(core)); n != 0 {
 		t.Errorf("%d starts at %v of a task whose end may be the 501st at a worker with leases to its clock %d", n, now.Steady, lease)
 	}
-	order = core.PlanHold("w1", now).Order
+	order = core.PlanPoll("w1", now).Order
 	end := EndedTask{Number: maxEndsListed + 1, Task: job.TaskID{Job: spec.ID}, Run: 1<<runBits | 1, Kind: EndDone}
-	core.HoldDone(order, HoldReply{ClockMS: now.Steady.Milliseconds() + 5, Ended: []EndedTask{end}}, OutcomeOK, now)
+	core.PollDone(order, PollReply{ClockMS: now.Steady.Milliseconds() + 5, Ended: []EndedTask{end}}, OutcomeOK, now)
 	if !t.Failed() && core.Recovering() != 0 {
 		t.Error("a worker whose lists were read completely is unresolved")
 	}
--- a/dispatch/pendingbegun_test.go
+++ b/dispatch/pendingbegun_test.go
@@ -11,7 +11,7 @@
 // that no job of a queue waits: the last owner had ordered the starts, none was carried out, and
 // its records had the jobs as running.
 func TestPendingCountsJobsWhoseStartsCameToNothing(t *testing.T) {
-	for _, outcome := range []Outcome{OutcomeNoRoom, OutcomeUnwell, OutcomeNotSent, OutcomeUnknown, OutcomeBroken} {
+	for _, outcome := range []Outcome{OutcomeNoCapacity, OutcomeUnwell, OutcomeNotSent, OutcomeUnknown, OutcomeBroken} {
 		t.Run(outcome.String(), func(t *testing.T) {
 			core, now := idleCore(t, 1)
 			spec := simpleJob(1, 1)
@@ -51,11 +51,11 @@
 		},
 		"the run is listed": func(core *Core, o Order, now Instant) {
 			row := RunningTask{Task: o.Task, Run: o.Run, Percent: fullPace}
-			core.HoldDone(core.PlanHold("w0", now).Order, HoldReply{ClockMS: 1100, Running: []RunningTask{row}}, OutcomeOK, now)
+			core.PollDone(core.PlanPoll("w0", now).Order, PollReply{ClockMS: 1100, Running: []RunningTask{row}}, OutcomeOK, now)
 		},
 		"its end is listed": func(core *Core, o Order, now Instant) {
 			end := EndedTask{Number: 1, Task: o.Task, Run: o.Run, Kind: EndFailed}
-			core.HoldDone(core.PlanHold("w0", now).Order, HoldReply{ClockMS: 1100, Ended: []EndedTask{end}}, OutcomeOK, now)
+			core.PollDone(core.PlanPoll("w0", now).Order, PollReply{ClockMS: 1100, Ended: []EndedTask{end}}, OutcomeOK, now)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/dispatch/persist.go
+++ b/dispatch/persist.go
@@ -76,8 +76,8 @@
 		}
 	}
 	for w := range c.unstoredEnds {
-		c.work.endLooks++
-		if w.advanceSeen(); len(w.ends) == 0 {
+		c.work.endChecks++
+		if w.advanceStoredEnd(); len(w.ends) == 0 {
 			delete(c.unstoredEnds, w)
 		}
 	}
--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -83,7 +83,7 @@
 	}
 	var chosen *chooser
 	for _, t := range s.tasks {
-		if t.phase != phaseReady || t.suspectedCrashes() > 0 || now.Steady < t.notBefore || t.concluded && !c.certain(now) {
+		if t.phase != phaseReady || t.suspectedCrashes() > 0 || now.Steady < t.notBefore || t.concluded && !c.holdsLease(now) {
 			continue
 		}
 		if chosen == nil || chosen.view != x.view {
@@ -223,7 +223,7 @@
 // worker takes none.
 func (c *Core) rate(s *stepRun, w *worker, v view, now Instant) (float64, bool) {
 	slow := now.Steady < w.slowUntil
-	if slow && v.sparesSlow || w.kept && v.sparesKept || now.Steady < w.fullUntil || !w.fits(s.amount()) || !s.allowed(w) {
+	if slow && v.sparesSlow || w.isReserved && v.sparesKept || now.Steady < w.fullUntil || !w.fits(s.amount()) || !s.allowed(w) {
 		return 0, false
 	}
 	score, ok := c.score(s, w, v.starved)
--- a/dispatch/place_test.go
+++ b/dispatch/place_test.go
@@ -22,7 +22,7 @@
 func TestChooserAgreesWithPlainWalk(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := Instant{Steady: time.Minute}
-		c := sureCore(Params{MaxTaskLease: 6 * time.Second, OwnerTTL: time.Hour, OwnerHorizon: time.Hour, RemoteFactor: 3}, 1, now)
+		c := leasedCore(Params{MaxTaskLease: 6 * time.Second, OwnerTTL: time.Hour, OwnerHorizon: time.Hour, RemoteFactor: 3}, 1, now)
 		var workers []*worker
 		for i := range rapid.IntRange(1, 12).Draw(t, "workers") {
 			w := c.addWorker(WorkerInfo{
@@ -81,7 +81,7 @@
 		workers := c.poolOf(x.queue.Service, now)
 		v := c.viewOf(x.step, &pool{workers: workers}, now)
 		for _, t := range x.step.tasks {
-			if t.phase != phaseReady || now.Steady < t.notBefore || t.concluded && !c.certain(now) {
+			if t.phase != phaseReady || now.Steady < t.notBefore || t.concluded && !c.holdsLease(now) {
 				continue
 			}
 			if t.suspectedCrashes() > 0 {
--- a/dispatch/places_test.go
+++ b/dispatch/places_test.go
@@ -11,7 +11,7 @@
 
 // listEnds has a worker list these ended tasks, and no running ones.
 func listEnds(core *Core, id WorkerID, clock int64, now Instant, ended ...EndedTask) {
-	core.HoldDone(HoldOrder{Worker: id}, HoldReply{ClockMS: clock, Ended: ended}, OutcomeOK, now)
+	core.PollDone(PollRequest{Worker: id}, PollReply{ClockMS: clock, Ended: ended}, OutcomeOK, now)
 }
 
 // placesOf returns the workers of these start orders, sorted.
@@ -101,7 +101,7 @@
 		"room":   func(s *job.Step) { s.CPUMilli = 3000 },
 	} {
 		now := Instant{Steady: time.Second}
-		core := sureCore(Params{}, 2, now)
+		core := leasedCore(Params{}, 2, now)
 		core.Recover([]RosterEntry{{ID: "w0", Address: "w0"}}, now)
 		spec := simpleJob(1, 2)
 		change(&spec.Steps[0])
@@ -109,7 +109,7 @@
 		core.SetWorkers([]WorkerInfo{{ID: "w0", Address: "w0", Service: "svc", CPUMilli: 4000, MemoryMiB: 8000}}, now)
 		storeOpen(core, "w0")
 		row := RunningTask{Task: job.TaskID{Job: spec.ID}, Run: 1<<runBits | 1, Percent: 10}
-		core.HoldDone(core.PlanHold("w0", now).Order, HoldReply{ClockMS: 1000, Running: []RunningTask{row}}, OutcomeOK, now)
+		core.PollDone(core.PlanPoll("w0", now).Order, PollReply{ClockMS: 1000, Running: []RunningTask{row}}, OutcomeOK, now)
 		core.Schedule(now)
 		if list := starts(core); len(list) > 0 {
 			t.Errorf("%s: task %s starts beside an adopted one", name, list[0].Task)
--- a/dispatch/polls.go
+++ b/dispatch/polls.go
@@ -7,8 +7,8 @@
 
 // PollPlan is the next step for a worker: send Order if Send is set, and plan
 // again after Pause otherwise.
-type HoldPlan struct {
-	Order HoldOrder
+type PollPlan struct {
+	Order PollRequest
 	Send  bool
 	Pause time.Duration
 	// Gone is set once the worker needs no further polls.
@@ -25,31 +25,31 @@
 const idleRead = time.Minute
 
 // PlanPoll returns the next poll of a worker.
-func (c *Core) PlanHold(id WorkerID, now Instant) HoldPlan {
+func (c *Core) PlanPoll(id WorkerID, now Instant) PollPlan {
 	w := c.workers[id]
 	if w == nil {
-		return HoldPlan{Gone: true}
+		return PollPlan{Gone: true}
 	}
-	if w.overReason != "" {
-		return HoldPlan{Pause: idlePause}
+	if w.endReason != "" {
+		return PollPlan{Pause: idlePause}
 	}
-	if c.needless(w) {
-		return HoldPlan{Pause: idlePause}
+	if c.needsNoPolls(w) {
+		return PollPlan{Pause: idlePause}
 	}
 	// A worker whose last task has ended gets one more poll, so that it forgets the end.
-	idle := w.synced && len(w.attempts) == 0 && len(w.foreign) == 0 && len(w.ends) == 0 && w.told >= w.seen
+	idle := w.synced && len(w.attempts) == 0 && len(w.unexpected) == 0 && len(w.ends) == 0 && w.acknowledgedEnd >= w.storedEnd
 	if idle && now.Steady-w.clockAt < idleRead {
-		return HoldPlan{Pause: idlePause}
+		return PollPlan{Pause: idlePause}
 	}
-	h := HoldOrder{Worker: id, Address: w.info.Address, Token: c.tokenOf(w), Seen: w.acknowledges(now)}
-	w.ackUnanswered = max(w.ackUnanswered, h.Seen)
+	h := PollRequest{Worker: id, Address: w.info.Address, Token: c.tokenOf(w), Seen: w.acknowledgement(now)}
+	w.unansweredAck = max(w.unansweredAck, h.Seen)
 	// An unanswered poll may still extend the leases. While a worker is silent,
 	// polls only ask for its lists, so that its leases expire.
-	if (w.synced || w.partlyRead) && w.holdFails == 0 {
+	if (w.synced || w.partlyRead) && w.failedPolls == 0 {
 		h.DeadlineMS = c.deadlineIn(w, c.params.TaskLease, now)
 		if !idle && !w.mustAcknowledge() {
 			h.Wait = w.pollWait(c.overload.load)
-			if wait := w.waitForYoung(now); wait < h.Wait {
+			if wait := w.pollWaitForRecentRuns(now); wait < h.Wait {
 				h.Wait, h.ForLease = wait, true
 			}
 		}
@@ -57,20 +57,20 @@
 	if c.mayBeStarting(w) {
 		h.Wait = startGap
 	}
-	w.holdSent = now.Steady
-	return HoldPlan{Order: h, Send: true}
+	w.pollSent = now.Steady
+	return PollPlan{Order: h, Send: true}
 }
 
 // needsNoPolls reports whether no queue uses the worker's service and no run of this
 // owner or the previous one can be there. Another writer may list workers of services
 // that do not exist; the owner does not call their addresses.
-func (c *Core) needless(w *worker) bool {
+func (c *Core) needsNoPolls(w *worker) bool {
 	_, waits := c.unresolved[w.info.ID]
 	return !c.services[w.info.Service] && !waits && !w.synced && len(w.attempts) == 0
 }
 
 func (w *worker) pollWait(load Load) time.Duration {
-	if len(w.ends) > 0 || w.partlyRead || len(w.attempts) == 0 && len(w.foreign) == 0 {
+	if len(w.ends) > 0 || w.partlyRead || len(w.attempts) == 0 && len(w.unexpected) == 0 {
 		return 0
 	}
 	serves, fills := false, false
@@ -83,14 +83,14 @@
 		fills = fills || s.Fills
 	}
 	if serves && fills && load < LoadFewReadings {
-		return holdWaitWatched
+		return pollWaitWatched
 	}
-	return holdWait
+	return pollWaitDefault
 }
 
 // PollDone processes the answer to a poll and returns how long to wait before
 // the next one.
-func (c *Core) HoldDone(order HoldOrder, reply HoldReply, outcome Outcome, now Instant) time.Duration {
+func (c *Core) PollDone(order PollRequest, reply PollReply, outcome Outcome, now Instant) time.Duration {
 	w := c.workers[order.Worker]
 	if w == nil {
 		return 0
@@ -102,40 +102,40 @@
 			return 0 // sent before another incarnation of its id was known
 		}
 		c.depose(w)
-		return holdRetryMax
-	case OutcomeOtherLife:
-		c.lifeOver(w, "another life answers", now)
+		return pollRetryMax
+	case OutcomeOtherIncarnation:
+		c.endIncarnation(w, "another life answers", now)
 		return 0
 	default:
-		return c.holdFailed(w, outcome, now)
+		return c.pollFailed(w, outcome, now)
 	}
 	if reply.Born != 0 && reply.Born != w.info.ID.Born() {
 		c.handleRestart(w, reply, now)
 		return 0
 	}
 	if w.unreached() {
-		c.trace(Decision{Event: "worker_reached", Worker: w.info.ID, Age: now.Steady - w.lastAnswer})
+		c.trace(Decision{Event: "worker_reached", Worker: w.info.ID, Age: now.Steady - w.lastPollAnswer})
 	}
-	w.holdFails, w.unanswered, w.lastAnswer = 0, 0, now.Steady
-	c.reach.changed()
-	w.answeredSent = w.holdSent
-	w.sureDeadline = max(w.sureDeadline, order.DeadlineMS)
-	w.told, w.ackUnanswered = max(w.told, order.Seen), 0
+	w.failedPolls, w.unansweredCalls, w.lastPollAnswer = 0, 0, now.Steady
+	c.reach.invalidate()
+	w.answeredPollSent = w.pollSent
+	w.confirmedDeadline = max(w.confirmedDeadline, order.DeadlineMS)
+	w.acknowledgedEnd, w.unansweredAck = max(w.acknowledgedEnd, order.Seen), 0
 	w.recordAnswer(now)
-	c.endOtherLives(w, now)
+	c.endOtherIncarnations(w, now)
 	c.settleLost(w, now)
-	fresh := w.noteClock(reply.ClockMS, now)
-	c.takeEnds(w, reply.Ended, now)
+	fresh := w.recordClock(reply.ClockMS, now)
+	c.processEnds(w, reply.Ended, now)
 	if fresh {
 		w.forLease = order.ForLease
-		c.takeRunning(w, reply, now)
+		c.compareRunning(w, reply, now)
 	}
 	if !w.synced && fresh {
 		c.sync(w, order, reply, now)
 	}
-	w.advanceSeen()
-	if len(w.ends) > 0 || !fresh || w.mustAcknowledge() && w.acknowledges(now) == 0 {
-		return holdGapUnsaved
+	w.advanceStoredEnd()
+	if len(w.ends) > 0 || !fresh || w.mustAcknowledge() && w.acknowledgement(now) == 0 {
+		return pollPauseUnstoredEnds
 	}
 	return 0
 }
@@ -146,34 +146,36 @@
 // which then nobody reads. So a worker that may restart under its id gets each only once, in a
 // poll that follows an answer too closely for a restart, and none while the next incarnation may
 // have carried out a start. See Core.excludeForAcknowledgement for the remaining cases.
-func (w *worker) acknowledges(now Instant) uint64 {
+func (w *worker) acknowledgement(now Instant) uint64 {
 	switch {
 	case w.info.ID.Born() == 0:
-		return w.seen
-	case !w.mustAcknowledge() || w.holdFails > 0 || now.Steady-w.lastAnswer > lifeFresh:
+		return w.storedEnd
+	case !w.mustAcknowledge() || w.failedPolls > 0 || now.Steady-w.lastPollAnswer > incarnationFresh:
 		return 0
 	case slices.ContainsFunc(w.attempts, func(a *attempt) bool { return !a.listed }):
 		return 0
 	default:
-		return w.seen
+		return w.storedEnd
 	}
 }
 
 // mustAcknowledge reports whether a worker that may restart under its id has ends to forget.
 // They are acknowledged in a poll without a wait, which is answered at once: a poll that waits
 // is often in flight when the worker crashes.
-func (w *worker) mustAcknowledge() bool { return w.info.ID.Born() != 0 && w.told < w.seen }
+func (w *worker) mustAcknowledge() bool {
+	return w.info.ID.Born() != 0 && w.acknowledgedEnd < w.storedEnd
+}
 
 // sync records that the worker's lists were read under this term. While an answer is full, the
 // end of a task may not have fitted in it: what it lacks is not known until an answer is not
 // full, and runs keep their leases.
-func (c *Core) sync(w *worker, order HoldOrder, reply HoldReply, now Instant) {
+func (c *Core) sync(w *worker, order PollRequest, reply PollReply, now Instant) {
 	// Runs here may have any lease that the previous owner could give.
 	w.lastDeadline = max(w.lastDeadline, reply.ClockMS+c.params.MaxTaskLease.Milliseconds())
 	if w.fencedAt == 0 {
 		w.fencedAt = now.Steady
 	}
-	w.partlyRead = reply.full() || c.mayBeStarting(w) && !heldFor(startGap, order, reply)
+	w.partlyRead = reply.full() || c.mayBeStarting(w) && !waitedFor(startGap, order, reply)
 	if w.partlyRead {
 		return
 	}
@@ -188,12 +190,12 @@
 // arrives sooner, since there are ends, is used for what it reports, and the next one decides.
 func (c *Core) mayBeStarting(w *worker) bool {
 	_, waits := c.unresolved[w.info.ID]
-	return (waits || w.follows) && (w.fencedAt == 0 || w.holdSent < w.fencedAt+startGap)
+	return (waits || w.hasPredecessor) && (w.fencedAt == 0 || w.pollSent < w.fencedAt+startGap)
 }
 
 // waitedFor reports whether a worker gathered its lists at least d after a poll had reached it:
 // it answers sooner only if it has ends to report.
-func heldFor(d time.Duration, order HoldOrder, reply HoldReply) bool {
+func waitedFor(d time.Duration, order PollRequest, reply PollReply) bool {
 	return order.Wait >= d && len(reply.Ended) == 0
 }
 
@@ -204,14 +206,14 @@
 	c.deposed = true
 }
 
-func (c *Core) holdFailed(w *worker, outcome Outcome, now Instant) time.Duration {
+func (c *Core) pollFailed(w *worker, outcome Outcome, now Instant) time.Duration {
 	w.recordNoAnswer(outcome, now)
-	w.holdFails++
-	c.reach.changed()
-	w.failedSent = w.holdSent
-	w.unanswered++
-	if w.holdFails == suspectAfter {
+	w.failedPolls++
+	c.reach.invalidate()
+	w.failedPollSent = w.pollSent
+	w.unansweredCalls++
+	if w.failedPolls == unreachedAfter {
 		c.trace(Decision{Event: "worker_unreached", Worker: w.info.ID, Reason: outcome.String()})
 	}
-	return min(holdRetryMin<<min(w.holdFails, 4), holdRetryMax)
+	return min(pollRetryMin<<min(w.failedPolls, 4), pollRetryMax)
 }
--- a/dispatch/polls_test.go
+++ b/dispatch/polls_test.go
@@ -38,18 +38,18 @@
 	core.stop(a, "test", now)
 	began := now.Steady
 	var due time.Duration
-	var sent HoldOrder
+	var sent PollRequest
 	for ; now.Steady-began < 30*time.Second; now.Steady += 5 * time.Millisecond {
 		core.Renewed(now.Steady)
 		if due > 0 && now.Steady >= due {
 			due = 0
-			core.HoldDone(sent, HoldReply{ClockMS: now.Steady.Milliseconds()}, OutcomeOK, now)
+			core.PollDone(sent, PollReply{ClockMS: now.Steady.Milliseconds()}, OutcomeOK, now)
 		}
 		if len(w.attempts) == 0 || w.attempts[0] != a {
 			return now.Steady - began
 		}
 		if due == 0 {
-			plan := core.PlanHold("w1", now)
+			plan := core.PlanPoll("w1", now)
 			sent, due = plan.Order, now.Steady+max(takes, plan.Order.Wait)
 		}
 		if (now.Steady-began)%(100*time.Millisecond) == 0 {
@@ -65,19 +65,19 @@
 }
 
 // A worker whose answers report no clock must not be polled without pauses.
-func TestUnreadWorkerIsPolledAtAPace(t *testing.T) {
+func TestUnreadWorkerIsPolledWithPauses(t *testing.T) {
 	now := Instant{Steady: time.Second}
 	core := recoveredCore(now, RosterEntry{ID: "w1", Address: "w1", VM: "m1"})
 	core.SetWorkers([]WorkerInfo{testWorkerInfo("w1", "m1")}, now)
 	polls := 0
 	for end := now.Steady + 10*time.Second; now.Steady < end; polls++ {
-		plan := core.PlanHold("w1", now)
+		plan := core.PlanPoll("w1", now)
 		if !plan.Send {
 			now.Steady += plan.Pause
 			continue
 		}
 		now.Steady += time.Millisecond + plan.Order.Wait
-		now.Steady += core.HoldDone(plan.Order, HoldReply{}, OutcomeOK, now)
+		now.Steady += core.PollDone(plan.Order, PollReply{}, OutcomeOK, now)
 	}
 	if polls > 500 {
 		t.Errorf("%d polls in 10 s", polls)
--- a/dispatch/ports.go
+++ b/dispatch/ports.go
@@ -52,7 +52,7 @@
 
 // PollRequest extends the lease on all runs at a worker, acknowledges ends and
 // asks for the worker's lists.
-type HoldOrder struct {
+type PollRequest struct {
 	Worker  WorkerID
 	Address string
 	// Token is the fencing token: a worker that has seen a higher one rejects the call.
@@ -68,7 +68,7 @@
 }
 
 // PollReply is a worker's answer to a PollRequest.
-type HoldReply struct {
+type PollReply struct {
 	ClockMS int64
 	// Born is when the answering incarnation started, in Unix milliseconds by its own
 	// clock; 0 if the worker does not report it.
@@ -163,13 +163,13 @@
 	// OutcomeLate: the deadline had passed.
 	OutcomeLate
 	// OutcomeNoCapacity: the task does not fit.
-	OutcomeNoRoom
+	OutcomeNoCapacity
 	// OutcomeNoTicket: the ticket of the placement policy is not valid.
 	OutcomeNoTicket
 	// OutcomeUnwell: the worker temporarily refuses work.
 	OutcomeUnwell
 	// OutcomeOtherIncarnation: the worker was restarted; the addressed incarnation has ended.
-	OutcomeOtherLife
+	OutcomeOtherIncarnation
 	// OutcomeInvalid: the worker rejects the call as malformed.
 	OutcomeInvalid
 	// OutcomeNotSent: the order was out of date before it was sent.
--- a/dispatch/preempt.go
+++ b/dispatch/preempt.go
@@ -31,7 +31,7 @@
 			return
 		}
 		s.preempted = now.Steady
-		w.reserved = now.Steady + preemptPause
+		w.noPreemptionUntil = now.Steady + preemptPause
 		for _, a := range victims {
 			c.move(a, "makes room for more urgent work", now)
 		}
@@ -45,7 +45,7 @@
 	var best *worker
 	var bestVictims []*attempt
 	for _, w := range pool {
-		if now.Steady < w.reserved || !s.allowed(w) || !w.fits(resources{cpu: amount.cpu, accelerators: amount.accelerators}) {
+		if now.Steady < w.noPreemptionUntil || !s.allowed(w) || !w.fits(resources{cpu: amount.cpu, accelerators: amount.accelerators}) {
 			continue
 		}
 		lacking := w.used.memory + amount.memory - w.info.MemoryMiB
--- a/dispatch/rank.go
+++ b/dispatch/rank.go
@@ -171,8 +171,8 @@
 // those that have none from the open steps.
 func (c *Core) candidates(now Instant) []candidate {
 	list := c.candidateScratch[:0]
-	stillOpen := c.open[:0]
-	for _, s := range c.open {
+	stillOpen := c.openSteps[:0]
+	for _, s := range c.openSteps {
 		if s.job.progress.State.Final() || s.left == 0 {
 			s.queued = false
 			continue
@@ -199,7 +199,7 @@
 			list = append(list, candidate{s, q, c.rankOf(s, q, now)})
 		}
 	}
-	c.open, c.candidateScratch = stillOpen, list
+	c.openSteps, c.candidateScratch = stillOpen, list
 	slices.SortStableFunc(list, func(a, b candidate) int { return a.rank.compare(b.rank) })
 	return list
 }
--- a/dispatch/rank_test.go
+++ b/dispatch/rank_test.go
@@ -11,7 +11,7 @@
 // free, so that urgent tasks that end within a second starve.
 func TestShortTasksOnTimeGoBeforeLastingOnes(t *testing.T) {
 	now := Instant{Steady: 20 * time.Second, UnixMS: 20_000}
-	core := sureCore(Params{}, 1, now)
+	core := leasedCore(Params{}, 1, now)
 	add := func(n int, acceptedMS int64, step job.Step) *stepRun {
 		spec := simpleJob(n, 1)
 		spec.AcceptedMS, spec.Steps = acceptedMS, []job.Step{step}
--- a/dispatch/reach.go
+++ b/dispatch/reach.go
@@ -6,7 +6,7 @@
 // itself was on time and reached most others. Without these conditions, an owner that
 // is late, or whose link is congested, restarts tasks whose ends it has not read yet.
 func (c *Core) silent(w *worker, now Instant) bool {
-	return w.holdFails > 0 && w.failedSent > c.overload.doubtful && c.reachesOthers(w, now)
+	return w.failedPolls > 0 && w.failedPollSent > c.overload.doubtful && c.reachesOthers(w, now)
 }
 
 // reachedWithin is the age of a worker's newest answer up to which the worker counts
@@ -27,9 +27,9 @@
 	switch {
 	case !w.listed:
 		return contactNone
-	case w.holdFails > 0:
+	case w.failedPolls > 0:
 		return contactSilent
-	case w.lastAnswer > 0 && at-w.lastAnswer <= reachedWithin:
+	case w.lastPollAnswer > 0 && at-w.lastPollAnswer <= reachedWithin:
 		return contactReached
 	default:
 		return contactNone
@@ -45,10 +45,10 @@
 }
 
 // invalidate drops the counts, after the contact with a worker has changed.
-func (r *reach) changed() { r.known = false }
+func (r *reach) invalidate() { r.known = false }
 
 // exclude takes a worker out of the counts.
-func (r *reach) without(w *worker) { r.counts[w.contactAt(r.at)]-- }
+func (r *reach) exclude(w *worker) { r.counts[w.contactAt(r.at)]-- }
 
 func (c *Core) reachAt(now Instant) *reach {
 	r := &c.reach
@@ -58,7 +58,7 @@
 	*r = reach{known: true, at: now.Steady}
 	for _, w := range c.order {
 		r.counts[w.contactAt(r.at)]++
-		c.work.reachLooks++
+		c.work.reachChecks++
 	}
 	return r
 }
@@ -68,6 +68,6 @@
 // owner's side, or so large that the list entries of those workers will expire.
 func (c *Core) reachesOthers(w *worker, now Instant) bool {
 	others := *c.reachAt(now)
-	others.without(w)
+	others.exclude(w)
 	return others.counts[contactReached] >= others.counts[contactSilent]
 }
--- a/dispatch/recover.go
+++ b/dispatch/recover.go
@@ -22,7 +22,7 @@
 	slices.SortFunc(list, func(a, b RosterEntry) int { return cmp.Compare(a.ID, b.ID) }) // workers are kept in this order
 	for _, e := range list {
 		if first, duplicate := c.unresolved[e.ID]; duplicate {
-			c.recoverTwice(first, e)
+			c.recoverDuplicate(first, e)
 			continue
 		}
 		u := unresolvedWorker{until: now.Steady + c.params.RecoveryWait, open: !e.Closed, tasks: map[string]bool{}}
@@ -30,7 +30,7 @@
 			u.tasks[id] = true
 		}
 		c.unresolved[e.ID] = u
-		c.roster.keep(e)
+		c.roster.set(e)
 		c.recoverLost(e, now)
 		c.addWorker(WorkerInfo{ID: e.ID, Address: e.Address, VM: e.VM}, now).recorded = u.open
 		if u.open {
@@ -45,7 +45,7 @@
 // recoverDuplicate merges a second entry of a worker: the worker was dropped from one part of
 // the roster and added to another, and the first part was not written since. The tasks of both
 // entries may run there.
-func (c *Core) recoverTwice(u unresolvedWorker, e RosterEntry) {
+func (c *Core) recoverDuplicate(u unresolvedWorker, e RosterEntry) {
 	for _, id := range e.Tasks {
 		u.tasks[id] = true
 	}
@@ -54,9 +54,9 @@
 		c.openUnresolved++
 		c.workers[e.ID].recorded = true
 		c.roster.drop(e.ID)
-		c.roster.keep(e)
+		c.roster.set(e)
 	} else {
-		c.roster.changed(e.part)
+		c.roster.markStale(e.part)
 	}
 	c.unresolved[e.ID] = u
 }
@@ -82,7 +82,7 @@
 	if u.open {
 		c.openUnresolved--
 	}
-	if w := c.workers[id]; w == nil || w.heardAt == 0 {
+	if w := c.workers[id]; w == nil || w.lastContact == 0 {
 		c.recordUnreadLoss(u)
 	}
 	c.settleStarts(id, now)
@@ -103,7 +103,7 @@
 // workers still wait. Like every conclusion from silence or from the end of an
 // incarnation, this requires a lease that is held for certain.
 func (c *Core) settleUnknown(now Instant) {
-	if c.unknown && c.openUnresolved == 0 && c.certain(now) {
+	if c.unknown && c.openUnresolved == 0 && c.holdsLease(now) {
 		c.unknown = false
 		c.releaseUnknown(now)
 	}
@@ -145,8 +145,8 @@
 func (c *Core) expireUnresolved(now Instant) {
 	for id, u := range c.unresolved {
 		w := c.workers[id]
-		expired := w == nil || c.silent(w, now) && (!w.partlyRead || w.surelyPast(w.lastDeadline, now))
-		if expired && now.Steady >= u.until && c.certain(now) {
+		expired := w == nil || c.silent(w, now) && (!w.partlyRead || w.deadlinePassed(w.lastDeadline, now))
+		if expired && now.Steady >= u.until && c.holdsLease(now) {
 			c.resolve(id, "the previous owner's leases are over", now)
 		}
 	}
@@ -169,7 +169,7 @@
 				continue
 			}
 			if s.spec.Gang && s.gangRun != 0 {
-				c.mendGang(s, now)
+				c.repairGang(s, now)
 				continue
 			}
 			c.openStep(s, now)
@@ -180,7 +180,7 @@
 
 // repairGang ends a gang's run that lost members with the previous owner, once the
 // state of each member is known.
-func (c *Core) mendGang(s *stepRun, now Instant) {
+func (c *Core) repairGang(s *stepRun, now Instant) {
 	if slices.ContainsFunc(s.tasks, func(t *task) bool { return t.phase == phaseUnknown }) {
 		return
 	}
--- a/dispatch/recover_test.go
+++ b/dispatch/recover_test.go
@@ -14,7 +14,7 @@
 func rosterOf(t *testing.T, core *Core) []RosterEntry {
 	t.Helper()
 	for n := range core.roster.parts {
-		core.roster.changed(n)
+		core.roster.markStale(n)
 	}
 	parts := storeRoster(t, core)
 	list, err := rosterStore{}.put(parts).read()
@@ -64,7 +64,7 @@
 // worker of the first task.
 func startedCore(t *testing.T, now Instant) (*Core, WorkerID) {
 	t.Helper()
-	core := sureCore(Params{RecoveryWait: 10 * time.Second}, 1, now)
+	core := leasedCore(Params{RecoveryWait: 10 * time.Second}, 1, now)
 	core.SetWorkers([]WorkerInfo{testWorkerInfo("w1", "m1"), testWorkerInfo("w2", "m2")}, now)
 	rosterOf(t, core)
 	for _, id := range []WorkerID{"w1", "w2"} {
@@ -82,7 +82,7 @@
 
 // A worker that drained, was silent or was no longer listed before the owner died must
 // delay only the tasks that it may run, not all tasks.
-func TestTakeoverWaitsOnlyForWhatMayRunAtSilentWorkers(t *testing.T) {
+func TestTakeoverDelaysOnlyTasksOfSilentWorkers(t *testing.T) {
 	for name, quieten := range map[string]func(core *Core, id WorkerID, now Instant){
 		"draining": func(core *Core, id WorkerID, now Instant) {
 			list := []WorkerInfo{testWorkerInfo("w1", "m1"), testWorkerInfo("w2", "m2")}
@@ -92,8 +92,8 @@
 			core.SetWorkers(list, now)
 		},
 		"silent": func(core *Core, id WorkerID, now Instant) {
-			for range suspectAfter {
-				core.HoldDone(HoldOrder{Worker: id}, HoldReply{}, OutcomeUnknown, now)
+			for range unreachedAfter {
+				core.PollDone(PollRequest{Worker: id}, PollReply{}, OutcomeUnknown, now)
 			}
 		},
 		"not listed": func(core *Core, id WorkerID, now Instant) {
@@ -144,8 +144,8 @@
 func TestReopenedWorkerGetsNoStartsBeforeItsEntryIsStored(t *testing.T) {
 	now := Instant{Steady: time.Second}
 	core, id := startedCore(t, now)
-	for range suspectAfter {
-		core.HoldDone(HoldOrder{Worker: id}, HoldReply{}, OutcomeUnknown, now)
+	for range unreachedAfter {
+		core.PollDone(PollRequest{Worker: id}, PollReply{}, OutcomeUnknown, now)
 	}
 	core.Tick(now)
 	if list := rosterOf(t, core); !entryOf(list, id).Closed {
@@ -189,9 +189,9 @@
 	core, id := startedCore(t, now)
 	task := core.workers[id].attempts[0].task
 	end := EndedTask{Number: 1, Task: task.id(), Run: task.attempt.run, Kind: EndDone}
-	core.HoldDone(HoldOrder{Worker: id}, HoldReply{ClockMS: 2000, Ended: []EndedTask{end}}, OutcomeOK, now)
-	for range suspectAfter {
-		core.HoldDone(HoldOrder{Worker: id}, HoldReply{}, OutcomeUnknown, now)
+	core.PollDone(PollRequest{Worker: id}, PollReply{ClockMS: 2000, Ended: []EndedTask{end}}, OutcomeOK, now)
+	for range unreachedAfter {
+		core.PollDone(PollRequest{Worker: id}, PollReply{}, OutcomeUnknown, now)
 	}
 	core.Tick(now)
 	if e := entryOf(rosterOf(t, core), id); len(e.Tasks) != 1 || e.Tasks[0] != task.id().String() {
@@ -202,7 +202,7 @@
 // After a takeover, a worker may still run tasks of a job that was cancelled, or whose record
 // was removed. Until they are stopped they use capacity, which workers without an admission
 // check do not enforce.
-func TestRunsOfEndedJobsHoldTheirRoom(t *testing.T) {
+func TestRunsOfEndedJobsUseCapacity(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		now := Instant{Steady: time.Second}
 		core := recoveredCore(now, RosterEntry{ID: "w1", Address: "w1"})
@@ -213,16 +213,16 @@
 			core.AddJob(ended, &job.Progress{State: job.Cancelled}, true, now)
 		}
 		core.AddJob(simpleJob(2, 4), nil, true, now) // 4 times 500 of 16000
-		order := core.PlanHold("w1", now).Order
+		order := core.PlanPoll("w1", now).Order
 		row := RunningTask{Task: job.TaskID{Job: ended.ID}, Run: 7}
-		core.HoldDone(order, HoldReply{ClockMS: 1000, Running: []RunningTask{row}}, OutcomeOK, now)
+		core.PollDone(order, PollReply{ClockMS: 1000, Running: []RunningTask{row}}, OutcomeOK, now)
 		rosterOf(t, core)
 		core.Schedule(now)
 		if n := len(starts(core)); n > 2 || !known && n > 0 {
 			t.Errorf("known %v: %d tasks of 500 started beside 15000 of 16000", known, n)
 		}
 		now.Steady += time.Second
-		core.HoldDone(order, HoldReply{ClockMS: 2000}, OutcomeOK, now)
+		core.PollDone(order, PollReply{ClockMS: 2000}, OutcomeOK, now)
 		core.Schedule(now)
 		if n := len(starts(core)); n == 0 {
 			t.Errorf("known %v: nothing starts after the stop", known)
@@ -233,7 +233,7 @@
 // failedRun has a worker list the failed end of a run, as its first end.
 func failedRun(core *Core, id WorkerID, task job.TaskID, run uint64, now Instant) {
 	end := EndedTask{Number: 1, Task: task, Run: run, Kind: EndFailed}
-	core.HoldDone(core.PlanHold(id, now).Order, HoldReply{ClockMS: now.Steady.Milliseconds(), Ended: []EndedTask{end}}, OutcomeOK, now)
+	core.PollDone(core.PlanPoll(id, now).Order, PollReply{ClockMS: now.Steady.Milliseconds(), Ended: []EndedTask{end}}, OutcomeOK, now)
 }
 
 // A task failed at w1, and its second run is running at w2 when the owner dies before either is
@@ -253,7 +253,7 @@
 			poll(core, "w3", now.Steady, now.Steady+time.Millisecond)
 			id := job.TaskID{Job: spec.ID}
 			listed := []RunningTask{{Task: id, Run: 8, Percent: 50}}
-			core.HoldDone(core.PlanHold("w2", now).Order, HoldReply{ClockMS: 1000, Running: listed}, OutcomeOK, now)
+			core.PollDone(core.PlanPoll("w2", now).Order, PollReply{ClockMS: 1000, Running: listed}, OutcomeOK, now)
 			now.Steady += 50 * time.Millisecond
 			failedRun(core, "w2", id, 8, now)
 
@@ -285,7 +285,7 @@
 	core.AddJob(spec, nil, true, now)
 	id := job.TaskID{Job: spec.ID}
 	listed := []RunningTask{{Task: id, Run: 8, Percent: 50}}
-	core.HoldDone(core.PlanHold("w2", now).Order, HoldReply{ClockMS: 1000, Running: listed}, OutcomeOK, now)
+	core.PollDone(core.PlanPoll("w2", now).Order, PollReply{ClockMS: 1000, Running: listed}, OutcomeOK, now)
 	now.Steady += 50 * time.Millisecond
 	failedRun(core, "w2", id, 8, now)
 	now.Steady += 2 * retryDelay
@@ -298,13 +298,13 @@
 
 // A next owner that can't read which workers had orders must delay all tasks that may
 // have started until every lease of the previous owner has expired.
-func TestUnreadableRosterHoldsUpWhatMayRun(t *testing.T) {
+func TestUnreadableRosterDelaysTasksThatMayRun(t *testing.T) {
 	now := Instant{Steady: time.Minute}
-	core := sureCore(Params{RecoveryWait: 10 * time.Second}, 2, now)
+	core := leasedCore(Params{RecoveryWait: 10 * time.Second}, 2, now)
 	core.RecoverUnknown(now)
 	core.SetWorkers([]WorkerInfo{{ID: "w1", Address: "a", Service: "svc", CPUMilli: 4000, MemoryMiB: 4000}}, now)
 	storeRoster(t, core)
-	core.HoldDone(core.PlanHold("w1", now).Order, HoldReply{ClockMS: 500_000}, OutcomeOK, now)
+	core.PollDone(core.PlanPoll("w1", now).Order, PollReply{ClockMS: 500_000}, OutcomeOK, now)
 	core.AddJob(simpleJob(1, 1), nil, true, now)
 	core.AddJob(simpleJob(2, 1), nil, false, now)
 	core.Tick(now)
--- a/dispatch/restart_test.go
+++ b/dispatch/restart_test.go
@@ -28,7 +28,7 @@
 func newRestartCore(t *testing.T) *restartCore {
 	t.Helper()
 	x := &restartCore{t: t, now: Instant{Steady: time.Second}, incarnation: IncarnationID("w", bornFirst), clock: clockFirst}
-	x.core = sureCore(Params{RecoveryWait: 10 * time.Second}, 1, x.now)
+	x.core = leasedCore(Params{RecoveryWait: 10 * time.Second}, 1, x.now)
 	x.listWorkers()
 	x.pollAll(nil)
 	return x
@@ -52,17 +52,17 @@
 }
 
 // pollAll polls each known incarnation; the present one answers with these lists.
-func (x *restartCore) pollAll(running []RunningTask, ended ...EndedTask) (orders []HoldOrder) {
+func (x *restartCore) pollAll(running []RunningTask, ended ...EndedTask) (orders []PollRequest) {
 	x.t.Helper()
 	for _, id := range x.core.Workers() {
 		x.pass(startGap)
-		plan := x.core.PlanHold(id, x.now)
+		plan := x.core.PlanPoll(id, x.now)
 		if !plan.Send {
 			continue
 		}
 		orders = append(orders, plan.Order)
 		x.pass(startGap)
-		x.core.HoldDone(plan.Order, HoldReply{ClockMS: x.clock, Born: x.incarnation.Born(), Running: running, Ended: ended}, OutcomeOK, x.now)
+		x.core.PollDone(plan.Order, PollReply{ClockMS: x.clock, Born: x.incarnation.Born(), Running: running, Ended: ended}, OutcomeOK, x.now)
 	}
 	return orders
 }
@@ -222,7 +222,7 @@
 	for _, inRoster := range []WorkerID{IncarnationID("w", bornFirst), IncarnationID("w", bornSecond), "w"} {
 		for _, inList := range []WorkerID{IncarnationID("w", bornFirst), IncarnationID("w", bornSecond), ""} {
 			x := &restartCore{t: t, now: Instant{Steady: time.Second}, incarnation: IncarnationID("w", bornSecond), clock: 50}
-			x.core = sureCore(Params{RecoveryWait: 10 * time.Second}, 2, x.now)
+			x.core = leasedCore(Params{RecoveryWait: 10 * time.Second}, 2, x.now)
 			x.core.Recover([]RosterEntry{{ID: inRoster, Address: "w", VM: "m"}}, x.now)
 			var list []WorkerInfo
 			if inList != "" {
@@ -276,7 +276,7 @@
 func TestWorkerThatFirstReportsItsStartTime(t *testing.T) {
 	x := newRestartCore(t)
 	x.incarnation = "w"
-	x.core = sureCore(Params{RecoveryWait: 10 * time.Second}, 1, x.now)
+	x.core = leasedCore(Params{RecoveryWait: 10 * time.Second}, 1, x.now)
 	x.listWorkers()
 	x.pollAll(nil)
 	starts := x.submit(1, 2, true)
@@ -326,7 +326,7 @@
 func TestWorkersWithoutAStartTimeAreServed(t *testing.T) {
 	x := newRestartCore(t)
 	x.incarnation = "w"
-	x.core = sureCore(Params{}, 1, x.now)
+	x.core = leasedCore(Params{}, 1, x.now)
 	x.listWorkers()
 	x.pollAll(nil)
 	x.finishTasks(3)
@@ -355,8 +355,8 @@
 	if x.core.Deposed() {
 		t.Error("the refusal of this owner's own order ended the term")
 	}
-	order := x.core.PlanHold(x.incarnation, x.now).Order
-	x.core.HoldDone(order, HoldReply{}, OutcomeFenced, x.now)
+	order := x.core.PlanPoll(x.incarnation, x.now).Order
+	x.core.PollDone(order, PollReply{}, OutcomeFenced, x.now)
 	if !x.core.Deposed() {
 		t.Error("a higher term did not end this one")
 	}
@@ -391,15 +391,15 @@
 		x.pollAll(rowsOf(starts))
 		x.pollAll(nil, endsOf(starts)...)
 		x.persist()
-		order := x.core.PlanHold(x.incarnation, x.now).Order
+		order := x.core.PlanPoll(x.incarnation, x.now).Order
 		if order.Seen != 2 || order.Wait != 0 {
 			t.Fatalf("ends are acknowledged by %+v, want in a poll that does not wait", order)
 		}
 		x.restart()
 		if answered {
-			x.core.HoldDone(order, HoldReply{ClockMS: x.clock, Born: x.incarnation.Born()}, OutcomeOK, x.now)
+			x.core.PollDone(order, PollReply{ClockMS: x.clock, Born: x.incarnation.Born()}, OutcomeOK, x.now)
 		} else {
-			x.core.HoldDone(order, HoldReply{}, OutcomeBroken, x.now)
+			x.core.PollDone(order, PollReply{}, OutcomeBroken, x.now)
 		}
 		for range 3 {
 			x.pollAll(nil)
@@ -430,8 +430,8 @@
 	released := map[job.TaskID]time.Duration{}
 	for x.now.Steady < sent+20*time.Second {
 		x.pass(200 * time.Millisecond)
-		if plan := x.core.PlanHold(x.core.Workers()[0], x.now); plan.Send {
-			x.core.HoldDone(plan.Order, HoldReply{}, OutcomeUnknown, x.now)
+		if plan := x.core.PlanPoll(x.core.Workers()[0], x.now); plan.Send {
+			x.core.PollDone(plan.Order, PollReply{}, OutcomeUnknown, x.now)
 		}
 		x.core.Tick(x.now)
 		for _, o := range slices.Concat(listed, unlisted) {
@@ -446,7 +446,7 @@
 	if at := released[listed[0].Task]; at == 0 || at > longest+300*time.Millisecond {
 		t.Errorf("a run that had been listed is given up after %v, the longest lease is %v", at, longest)
 	}
-	if at := released[unlisted[0].Task]; at < longest+lateCall || at > longest+lateCall+time.Second {
+	if at := released[unlisted[0].Task]; at < longest+maxCallDelay || at > longest+maxCallDelay+time.Second {
 		t.Errorf("a run that had not been listed is given up after %v, the longest lease is %v", at, longest)
 	}
 }
@@ -458,11 +458,11 @@
 	for _, id := range []WorkerID{IncarnationID("w", bornFirst), "w"} {
 		x := newRestartCore(t)
 		x.incarnation = id
-		x.core = sureCore(Params{}, 1, x.now)
+		x.core = leasedCore(Params{}, 1, x.now)
 		x.listWorkers()
 		x.pollAll(nil)
 		x.core.AddJob(simpleJob(1, 1), nil, false, x.now)
-		x.core.certainUntil = x.now.Steady
+		x.core.leaseHeldUntil = x.now.Steady
 		x.pass(time.Second)
 		starts := x.startsNow()
 		if restarts := id.Born() != 0; restarts != (len(starts) == 0) {
@@ -471,7 +471,7 @@
 		if id.Born() == 0 {
 			continue
 		}
-		x.core.workers[id].foreign[job.TaskID{Job: "x"}] = foreignRun{} // so that it is polled
+		x.core.workers[id].unexpected[job.TaskID{Job: "x"}] = unexpectedRun{} // so that it is polled
 		x.pollAll(nil)
 		if starts := x.startsNow(); len(starts) != 1 {
 			t.Errorf("worker %q: %d starts after a fresh answer, want 1", id, len(starts))
--- a/dispatch/room_test.go
+++ b/dispatch/room_test.go
@@ -19,7 +19,7 @@
 	t.Helper()
 	f := &roomFleet{now: Instant{Steady: time.Second}, info: testWorkerInfo("w1", "m1")}
 	f.info.CPUMilli = 4000
-	f.core = sureCore(Params{RoomNotice: 3 * time.Second}, 1, f.now)
+	f.core = leasedCore(Params{MaxWorkerListAge: 3 * time.Second}, 1, f.now)
 	f.core.SetConfig(&job.Config{Version: 2, Queues: []job.Queue{{Name: "q", Service: "svc", Stretch: 2, TargetLatency: time.Second, RoomUnguarded: unguarded}}})
 	f.list()
 	rosterOf(t, f.core)
@@ -47,13 +47,13 @@
 // end has the worker list the end of an attempt, and its other attempts as running.
 func (f *roomFleet) end(a *attempt, number uint64) {
 	w := a.worker
-	reply := HoldReply{ClockMS: f.now.Steady.Milliseconds(), Ended: []EndedTask{{Number: number, Task: a.task.id(), Run: a.run, Kind: EndStopped}}}
+	reply := PollReply{ClockMS: f.now.Steady.Milliseconds(), Ended: []EndedTask{{Number: number, Task: a.task.id(), Run: a.run, Kind: EndStopped}}}
 	for _, other := range w.attempts {
 		if other != a {
 			reply.Running = append(reply.Running, RunningTask{Task: other.task.id(), Run: other.run, Percent: fullPace})
 		}
 	}
-	f.core.HoldDone(f.core.PlanHold("w1", f.now).Order, reply, OutcomeOK, f.now)
+	f.core.PollDone(f.core.PlanPoll("w1", f.now).Order, reply, OutcomeOK, f.now)
 }
 
 // TestShrunkAndGrownCapacity: a start never exceeds the capacity that a worker lists, including
@@ -104,7 +104,7 @@
 		if n := f.starts(); n != 2 {
 			t.Fatalf("%d starts with a new list", n)
 		}
-		f.now.Steady += f.core.params.RoomNotice
+		f.now.Steady += f.core.params.MaxWorkerListAge
 		f.core.AddJob(simpleJob(2, 2), nil, false, f.now)
 		want := 2
 		if unguarded {
@@ -123,7 +123,7 @@
 // TestReservedCapacityOfShrunkWorkers: a worker that has shrunk below what its long-running tasks
 // take leaves nothing to short tasks, and reduces nothing of what others leave.
 func TestKeptRoomOfShrunkWorkers(t *testing.T) {
-	w := &worker{info: WorkerInfo{CPUMilli: 2000}, lasting: resources{cpu: 5000}}
+	w := &worker{info: WorkerInfo{CPUMilli: 2000}, longRunning: resources{cpu: 5000}}
 	if free := w.freeOfLasting(); free != 0 {
 		t.Errorf("%d free, want 0", free)
 	}
--- a/dispatch/roster.go
+++ b/dispatch/roster.go
@@ -18,7 +18,7 @@
 	Closed bool     `json:"closed,omitempty"`
 	Tasks  []string `json:"tasks,omitempty"`
 	// RecentRuns are the runs of which one may have crashed the worker, if it has crashed.
-	Young []LostRun `json:"young,omitempty"`
+	RecentRuns []LostRun `json:"young,omitempty"`
 	// part is the number of the part that holds the entry.
 	part int
 }
@@ -47,8 +47,8 @@
 	parts   []rosterPart
 	// firstWithCapacity is the number of the first part that may take another entry. stale
 	// holds the numbers of the parts whose stored copies are out of date.
-	room  int
-	stale map[int]bool
+	firstWithCapacity int
+	stale             map[int]bool
 }
 
 // rosterPart is the entries of one part; written is set once a write holds the newest
@@ -60,27 +60,27 @@
 
 func newRoster() roster { return roster{entries: map[WorkerID]RosterEntry{}, stale: map[int]bool{}} }
 
-func (r *roster) want(info WorkerInfo) {
+func (r *roster) ensure(info WorkerInfo) {
 	if _, ok := r.entries[info.ID]; !ok {
-		r.put(RosterEntry{ID: info.ID, Address: info.Address, VM: info.VM, part: r.partWithRoom()})
+		r.put(RosterEntry{ID: info.ID, Address: info.Address, VM: info.VM, part: r.partWithCapacity()})
 	}
 }
 
 // put sets an entry in the part that it names, and marks the part as stale.
 func (r *roster) put(e RosterEntry) {
-	r.keep(e)
-	r.changed(e.part)
+	r.set(e)
+	r.markStale(e.part)
 }
 
 // set sets an entry in the part that it names.
-func (r *roster) keep(e RosterEntry) {
+func (r *roster) set(e RosterEntry) {
 	r.grow(e.part)
 	r.parts[e.part].ids[e.ID] = true
 	r.entries[e.ID] = e
 }
 
 // markStale records that a part must be stored.
-func (r *roster) changed(part int) {
+func (r *roster) markStale(part int) {
 	r.grow(part)
 	r.parts[part].written = false
 	r.stale[part] = true
@@ -94,11 +94,11 @@
 }
 
 // partWithCapacity returns the number of a part that can take another entry.
-func (r *roster) partWithRoom() int {
-	for r.room < len(r.parts) && len(r.parts[r.room].ids) >= rosterPartSize {
-		r.room++
+func (r *roster) partWithCapacity() int {
+	for r.firstWithCapacity < len(r.parts) && len(r.parts[r.firstWithCapacity].ids) >= rosterPartSize {
+		r.firstWithCapacity++
 	}
-	return r.room
+	return r.firstWithCapacity
 }
 
 // drop removes a worker. A stored entry that is not needed would make the next
@@ -110,8 +110,8 @@
 	}
 	delete(r.entries, id)
 	delete(r.parts[e.part].ids, id)
-	r.room = min(r.room, e.part)
-	r.changed(e.part)
+	r.firstWithCapacity = min(r.firstWithCapacity, e.part)
+	r.markStale(e.part)
 }
 
 // updateClosed closes the entries of workers that get no starts, and reopens them
@@ -135,8 +135,8 @@
 // getsNoStarts reports whether a worker gets no starts for longer than it takes to
 // write the roster.
 func (c *Core) getsNoStarts(w *worker) bool {
-	silent := w.unreached() && w.unanswered >= suspectAfter
-	return w.info.Draining || !w.listed || silent || w.overReason != ""
+	silent := w.unreached() && w.unansweredCalls >= unreachedAfter
+	return w.info.Draining || !w.listed || silent || w.endReason != ""
 }
 
 // tasksAt returns the tasks that may be running at a worker, or whose end the
@@ -146,7 +146,7 @@
 	for _, a := range w.attempts {
 		list = append(list, a.task.id().String())
 	}
-	for id := range w.foreign {
+	for id := range w.unexpected {
 		list = append(list, id.String())
 	}
 	for _, e := range w.ends {
@@ -158,7 +158,7 @@
 
 // RosterStale reports whether parts of the roster, or the record of Unheard, must be
 // written.
-func (c *Core) RosterStale() bool { return len(c.roster.stale) > 0 || c.unheardStale }
+func (c *Core) RosterStale() bool { return len(c.roster.stale) > 0 || c.unreadStale }
 
 // Roster returns up to most of the parts of the roster that must be written.
 func (c *Core) Roster(most int) ([]RosterPart, error) {
@@ -182,7 +182,7 @@
 		e := c.roster.entries[id]
 		if _, waits := c.unresolved[id]; e.Closed && !waits {
 			w := c.workers[id]
-			e.Tasks, e.Young = w.tasksAt(), c.recentRunsForRoster(w)
+			e.Tasks, e.RecentRuns = w.tasksAt(), c.recentRunsForRoster(w)
 		}
 		if !e.Closed {
 			part.open = append(part.open, id)
--- a/dispatch/rostertwice_test.go
+++ b/dispatch/rostertwice_test.go
@@ -10,7 +10,7 @@
 // A worker that was dropped from one part of the roster, and added to another before the first was
 // written, has two entries and may run the tasks of either. If the next owner used only one entry,
 // a task would run twice at a time.
-func TestAWorkerThatTheRosterNamesTwice(t *testing.T) {
+func TestWorkerWithTwoRosterEntries(t *testing.T) {
 	task := func(n int) string { return fmt.Sprintf("%s.0.0.%d", simpleJob(1, 3).ID, n) }
 	open := RosterEntry{ID: "w1", VM: "m1"}
 	closed := func(n int) RosterEntry {
--- a/dispatch/score.go
+++ b/dispatch/score.go
@@ -39,7 +39,7 @@
 // as a share of the worker's size.
 func (w *worker) spareCPU() float64 {
 	size := float64(max(w.info.CPUMilli, 1))
-	return 1 - (servingUse*float64(w.lasting.cpu)+w.load.otherCPU+w.load.fillCPU)/size
+	return 1 - (servingUse*float64(w.longRunning.cpu)+w.load.otherCPU+w.load.fillCPU)/size
 }
 
 // score rates a worker for one more task of the step; more is better. It is false if the
@@ -74,18 +74,18 @@
 		mean, deviation := c.model.coefficient(v.image, s.spec.Image)
 		cost := (mean + doubt*deviation) * add
 		left := v.alone - c.model.cost(v.image, w.load.fills) - cost
-		if (left < admitHeadroom || w.over > 0) && cost > harmlessCost && !starved {
+		if (left < admitHeadroom || w.overTarget > 0) && cost > harmlessCost && !starved {
 			return 0, false
 		}
 		most = max(most, cost)
 	}
-	return spare - costWeight*most - openWeight*w.openness, true
+	return spare - costWeight*most - openWeight*w.fillAcceptance, true
 }
 
 // overTargetTooLong reports whether a task there has been over its target for so long that
 // the worker's fills are halted: new ones would work until the next list is read.
 func (c *Core) tooLongOver(w *worker) bool {
-	return w.over > 0 && w.over >= c.shareOfOver(haltAfter)
+	return w.overTarget > 0 && w.overTarget >= c.shareOfOver(haltAfter)
 }
 
 // scoreLongRunning packs long-running tasks, each image beside tasks of the same image, so
--- a/dispatch/shown_test.go
+++ b/dispatch/shown_test.go
@@ -36,7 +36,7 @@
 		if got := shownState(t, core, spec.ID); got.Final() {
 			t.Errorf("%s: shown as %s before it is stored", name, got)
 		}
-		if seen := core.workers["w0"].seen; seen != 0 {
+		if seen := core.workers["w0"].storedEnd; seen != 0 {
 			t.Errorf("%s: the worker may forget end %d before it is stored", name, seen)
 		}
 		records, err := core.Records(1)
@@ -47,7 +47,7 @@
 		if got := shownState(t, core, spec.ID); got != c.want {
 			t.Errorf("%s: shown as %s once stored, want %s", name, got, c.want)
 		}
-		if seen := core.workers["w0"].seen; seen != 1 {
+		if seen := core.workers["w0"].storedEnd; seen != 1 {
 			t.Errorf("%s: end %d may be forgotten once stored, want 1", name, seen)
 		}
 	}
--- a/dispatch/silence.go
+++ b/dispatch/silence.go
@@ -9,8 +9,8 @@
 // tickWorker repeats stops at a worker, and gives up a worker that is silent for
 // longer than its leases last.
 func (c *Core) tickWorker(w *worker, now Instant) {
-	if w.overReason != "" {
-		c.lifeOver(w, w.overReason, now)
+	if w.endReason != "" {
+		c.endIncarnation(w, w.endReason, now)
 		return
 	}
 	for _, a := range w.attempts {
@@ -18,8 +18,8 @@
 	}
 	// An owner that may have been replaced must not conclude anything from
 	// elapsed time alone: the next one may know how these runs ended.
-	if len(w.attempts) > 0 && c.certain(now) && c.silent(w, now) {
-		c.concludeSilence(w, now)
+	if len(w.attempts) > 0 && c.holdsLease(now) && c.silent(w, now) {
+		c.releaseSilent(w, now)
 	}
 	if !w.listed && len(w.attempts) == 0 && len(w.ends) == 0 && w.unreached() {
 		if _, wait := c.unresolved[w.info.ID]; !wait {
@@ -29,11 +29,11 @@
 }
 
 // releaseSilent releases the attempts at a silent worker whose leases have expired.
-func (c *Core) concludeSilence(w *worker, now Instant) {
-	thisExpired := w.clock > 0 && w.surelyPast(w.lastDeadline, now)
-	nextExpired := c.nextLifeLapsed(w, now)
+func (c *Core) releaseSilent(w *worker, now Instant) {
+	thisExpired := w.clock > 0 && w.deadlinePassed(w.lastDeadline, now)
+	nextExpired := c.nextIncarnationExpired(w, now)
 	expired := slices.DeleteFunc(slices.Clone(w.attempts), func(a *attempt) bool {
-		if a.mayBeOfNextLife() {
+		if a.mayBeOfNextIncarnation() {
 			return !nextExpired || !thisExpired && w.clock > 0
 		}
 		return !thisExpired
@@ -42,34 +42,34 @@
 		return
 	}
 	l := c.lostIncarnationOf(w, now)
-	c.loseAll(w, expired, "its leases are over", now)
-	if c.lostLives[w.info.VM].id != w.info.ID { // else it holds these runs already
+	c.releaseLost(w, expired, "its leases are over", now)
+	if c.lostIncarnations[w.info.VM].id != w.info.ID { // else it holds these runs already
 		c.keepUnsettled(w.info.VM, l)
 	}
 }
 
 // mayBeOfNextIncarnation reports whether a run may have been started by an incarnation of its
 // worker's id that the owner does not know of.
-func (a *attempt) mayBeOfNextLife() bool { return a.worker.info.ID.Born() != 0 && !a.listed }
+func (a *attempt) mayBeOfNextIncarnation() bool { return a.worker.info.ID.Born() != 0 && !a.listed }
 
 // nextIncarnationExpired reports whether all leases have expired that the next incarnation of a
 // worker's id can have taken from calls meant for this one. Their deadlines are far ahead on its
 // clock, so that they last for as long as a worker accepts.
-func (c *Core) nextLifeLapsed(w *worker, now Instant) bool {
+func (c *Core) nextIncarnationExpired(w *worker, now Instant) bool {
 	longest := time.Duration(float64(c.params.MaxTaskLease)/clockRate) + clockMargin
-	return now.Steady > w.leaseSent+lateCall+longest
+	return now.Steady > w.leaseSent+maxCallDelay+longest
 }
 
 // releaseAllLost releases all attempts at a worker: none of them can be running.
-func (c *Core) lose(w *worker, reason string, now Instant) {
-	c.loseAll(w, slices.Clone(w.attempts), reason, now)
+func (c *Core) releaseAllLost(w *worker, reason string, now Instant) {
+	c.releaseLost(w, slices.Clone(w.attempts), reason, now)
 }
 
 // releaseLost releases attempts at a worker that can't be running.
-func (c *Core) loseAll(w *worker, lost []*attempt, reason string, now Instant) {
+func (c *Core) releaseLost(w *worker, lost []*attempt, reason string, now Instant) {
 	for _, a := range lost {
 		c.stats.Lost++
-		c.tellGivenUp("run_lost", a, reason, fmt.Sprintf("lease until %d, worker's clock %d", w.lastDeadline, w.clockNow(now)), now.Steady-w.lastAnswer)
+		c.logGivenUp("run_lost", a, reason, fmt.Sprintf("lease until %d, worker's clock %d", w.lastDeadline, w.clockNow(now)), now.Steady-w.lastPollAnswer)
 		a.task.concluded, a.lost = true, !a.unsent
 		c.release(a, now)
 	}
@@ -79,18 +79,18 @@
 // endIncarnation handles the proof that an incarnation of a worker has ended. An owner
 // that may have been replaced defers the conclusion: the next one may have read how
 // the runs there ended before that incarnation did.
-func (c *Core) lifeOver(w *worker, reason string, now Instant) {
-	if !c.certain(now) {
-		w.overReason = reason
+func (c *Core) endIncarnation(w *worker, reason string, now Instant) {
+	if !c.holdsLease(now) {
+		w.endReason = reason
 		return
 	}
 	next := c.successor(w)
 	end := c.classifyEnd(w, now)
-	l, hadRuns := c.lostWith(w, next, now)
+	l, hadRuns := c.endedIncarnationRecord(w, next, now)
 	if next != nil {
 		c.transferRuns(w, next)
 	}
-	c.lose(w, reason, now)
+	c.releaseAllLost(w, reason, now)
 	if hadRuns && l.busy && w.info.VM != "" {
 		c.fellSilent[w.info.VM] = l.loss.since
 	}
@@ -104,16 +104,16 @@
 	c.settleStartsOfIncarnation(w, next, end, now)
 	c.resolve(w.info.ID, reason, now)
 	c.forget(w, reason)
-	c.over[w.info.ID] = true
+	c.ended[w.info.ID] = true
 }
 
-// lostWith returns what is remembered of an ended incarnation, if it had runs.
-func (c *Core) lostWith(w, next *worker, now Instant) (l lostIncarnation, hadRuns bool) {
-	lost, unsettled := c.lostLives[w.info.VM]
+// endedIncarnationRecord returns what is remembered of an ended incarnation, if it had runs.
+func (c *Core) endedIncarnationRecord(w, next *worker, now Instant) (l lostIncarnation, hadRuns bool) {
+	lost, unsettled := c.lostIncarnations[w.info.VM]
 	switch {
 	case next != nil && w.info.ID.Born() == 0:
 		return lostIncarnation{}, false // it may be the incarnation that answers now, of which more is known
-	case len(w.attempts) > 0 && w.heardAt > 0:
+	case len(w.attempts) > 0 && w.lastContact > 0:
 		l = c.lostIncarnationOf(w, now)
 		c.logIncarnationEnd(w, l.end, w.recentRuns(), now)
 		return l, true
@@ -128,28 +128,28 @@
 // known before its newest poll was sent and have not answered since: a VM runs one incarnation
 // at a time, and an ended one does not return. An incarnation that became known later may have
 // followed this one while its answer was in flight.
-func (c *Core) endOtherLives(w *worker, now Instant) {
-	if len(c.lives[w.info.VM]) < 2 && len(c.names[w.info.ID.Name()].incarnations) < 2 {
+func (c *Core) endOtherIncarnations(w *worker, now Instant) {
+	if len(c.incarnations[w.info.VM]) < 2 && len(c.incarnationsByName[w.info.ID.Name()].incarnations) < 2 {
 		return
 	}
 	for _, other := range c.otherIncarnations(w) {
-		if other.knownAt >= w.holdSent || other.lastAnswer >= w.holdSent {
+		if other.knownAt >= w.pollSent || other.lastPollAnswer >= w.pollSent {
 			continue
 		}
-		c.lifeOver(other, "another life of its VM answers", now)
+		c.endIncarnation(other, "another life of its VM answers", now)
 	}
 }
 
 func (c *Core) forget(w *worker, reason string) {
 	delete(c.workers, w.info.ID)
 	delete(c.unstoredEnds, w)
-	c.reach.without(w)
+	c.reach.exclude(w)
 	c.removeFromName(w)
-	c.leave(w)
+	c.removeFromIndexes(w)
 	w.listed = false // for what still refers to the worker
-	c.lives[w.info.VM] = slices.DeleteFunc(c.lives[w.info.VM], func(o *worker) bool { return o == w })
-	if len(c.lives[w.info.VM]) == 0 {
-		delete(c.lives, w.info.VM)
+	c.incarnations[w.info.VM] = slices.DeleteFunc(c.incarnations[w.info.VM], func(o *worker) bool { return o == w })
+	if len(c.incarnations[w.info.VM]) == 0 {
+		delete(c.incarnations, w.info.VM)
 	}
 	c.roster.drop(w.info.ID)
 	c.trace(Decision{Event: "worker_forgotten", Worker: w.info.ID, Reason: reason})
--- a/dispatch/sim_checkpoint_faults_test.go
+++ b/dispatch/sim_checkpoint_faults_test.go
@@ -110,7 +110,7 @@
 			}),
 		"a gang's members bring their own": func(s *sim) {
 			reported := map[job.TaskID]string{}
-			s.alterReply = func(_ *Core, reply *HoldReply) { noteEach(reported, reply) }
+			s.alterReply = func(_ *Core, reply *PollReply) { noteEach(reported, reply) }
 			s.alterStart = func(_ *Core, o *Order) {
 				if text := reported[o.Task]; s.stepOf(o.Task).Gang && text != "" {
 					o.Checkpoint = text
@@ -126,7 +126,7 @@
 		"a text told of a step that keeps none is used": func(s *sim) {
 			lieOfPlainSteps(s)
 			reported := map[job.TaskID]string{}
-			s.alterReply = func(_ *Core, reply *HoldReply) { noteEach(reported, reply) }
+			s.alterReply = func(_ *Core, reply *PollReply) { noteEach(reported, reply) }
 			s.alterStart = func(_ *Core, o *Order) {
 				if o.Checkpoint == "" {
 					o.Checkpoint = reported[o.Task]
@@ -134,7 +134,7 @@
 			}
 		},
 		"an end's checkpoint goes to what the worker runs now": func(s *sim) {
-			s.alterReply = func(_ *Core, reply *HoldReply) {
+			s.alterReply = func(_ *Core, reply *PollReply) {
 				for i := range reply.Ended {
 					if text := reply.Ended[i].Checkpoint; text != "" && len(reply.Running) > 0 {
 						reply.Running = slices.Clone(reply.Running)
@@ -144,7 +144,7 @@
 			}
 		},
 		"a list's rows are matched by their place": func(s *sim) {
-			s.alterReply = func(_ *Core, reply *HoldReply) {
+			s.alterReply = func(_ *Core, reply *PollReply) {
 				if len(reply.Running) < 2 {
 					return
 				}
@@ -159,7 +159,7 @@
 }
 
 // recordCheckpoints records the checkpoint that a reply reports for each task.
-func noteEach(reported map[job.TaskID]string, reply *HoldReply) {
+func noteEach(reported map[job.TaskID]string, reply *PollReply) {
 	for i := range reply.Running {
 		reported[reply.Running[i].Task] = reply.Running[i].Checkpoint
 	}
@@ -170,7 +170,7 @@
 
 // falsifyPlainSteps has workers report a checkpoint for each task whose step keeps none.
 func lieOfPlainSteps(s *sim) {
-	s.lie = func(w *simWorker, reply *HoldReply) {
+	s.lie = func(w *simWorker, reply *PollReply) {
 		for i := range reply.Running {
 			if row := &reply.Running[i]; !s.stepOf(row.Task).Checkpoints {
 				s.lies++
@@ -205,7 +205,7 @@
 // falsifyUnknownRuns has workers list runs that no owner ordered, with a checkpoint.
 func lieOfUnknownRuns(s *sim) {
 	const firstUnknown = 1 << 20 // beyond the starts of a term
-	s.lie = func(w *simWorker, reply *HoldReply) {
+	s.lie = func(w *simWorker, reply *PollReply) {
 		rng := s.checkpointRNG
 		if len(s.order) == 0 || rng.IntN(20) > 0 {
 			return
--- a/dispatch/sim_checkpoint_oracle_test.go
+++ b/dispatch/sim_checkpoint_oracle_test.go
@@ -50,7 +50,7 @@
 }
 
 // listed records the checkpoints that a worker lists.
-func (o *checkpointOracle) listed(reply HoldReply) {
+func (o *checkpointOracle) listed(reply PollReply) {
 	for i := range reply.Running {
 		o.told[reply.Running[i].Checkpoint] = true
 	}
@@ -60,7 +60,7 @@
 }
 
 // received records the checkpoints that an owner receives.
-func (o *oracle) heard(core *Core, reply HoldReply) {
+func (o *oracle) heard(core *Core, reply PollReply) {
 	for i := range reply.Running {
 		row := &reply.Running[i]
 		o.heardOne(core, toldCheckpoint{text: row.Checkpoint, task: row.Task, run: row.Run})
--- a/dispatch/sim_checkpoint_test.go
+++ b/dispatch/sim_checkpoint_test.go
@@ -21,12 +21,12 @@
 	// paced counts the pace orders that were carried out, preempted the stops of fill tasks.
 	paced, preempted int
 	// falsify, if set, adds false entries to a worker's lists; falsified counts them.
-	lie  func(w *simWorker, reply *HoldReply)
+	lie  func(w *simWorker, reply *PollReply)
 	lies int
 
 	// Safeguards that are switched off: alterStart changes an order, alterReply a poll reply.
 	alterStart func(core *Core, o *Order)
-	alterReply func(core *Core, reply *HoldReply)
+	alterReply func(core *Core, reply *PollReply)
 }
 
 const (
--- a/dispatch/sim_faults_test.go
+++ b/dispatch/sim_faults_test.go
@@ -171,7 +171,7 @@
 
 // awaitEnd has a worker answer a poll that it has carried out once an end is listed or the poll's
 // wait is over, with its lists at that time.
-func (s *sim) awaitEnd(w *simWorker, h HoldOrder, answered func(reply HoldReply), lost func()) {
+func (s *sim) awaitEnd(w *simWorker, h PollRequest, answered func(reply PollReply), lost func()) {
 	until := s.now + h.Wait
 	var check func()
 	check = func() {
@@ -209,7 +209,7 @@
 }
 
 // misread changes how a core reads a list, where a safeguard is switched off.
-func (s *sim) misread(core *Core, w *worker, reply HoldReply) {
+func (s *sim) misread(core *Core, w *worker, reply PollReply) {
 	if w == nil || reply.ClockMS == 0 {
 		return
 	}
--- a/dispatch/sim_restart_test.go
+++ b/dispatch/sim_restart_test.go
@@ -17,7 +17,7 @@
 	// unguardIncarnations switches a safeguard off before an owner acts, and unguardPoll
 	// changes a poll request; nil changes nothing.
 	unguardLives func(o *Core)
-	unguardPoll  func(o *Core, h *HoldOrder)
+	unguardPoll  func(o *Core, h *PollRequest)
 }
 
 // Limits of restarts under the same id.
@@ -210,13 +210,13 @@
 	}{
 		{"the token does not rise with lives", restartsAmidMoreLateCalls, func(s *sim) {
 			s.unguardLives = func(c *Core) {
-				for _, n := range c.names {
+				for _, n := range c.incarnationsByName {
 					n.generation = 0
 				}
 			}
 		}},
 		{"every poll acknowledges", restartsUnderOneID, func(s *sim) {
-			s.unguardPoll = func(c *Core, h *HoldOrder) { h.Seen = c.workers[h.Worker].seen }
+			s.unguardPoll = func(c *Core, h *PollRequest) { h.Seen = c.workers[h.Worker].storedEnd }
 		}},
 		{"what the life before was ordered is taken for lost with it", restartsOfAll, func(s *sim) {
 			s.unguardLives = func(c *Core) {
@@ -230,7 +230,7 @@
 		{"what the previous owner left at a life is not handed on to the next", restartsOfAll, func(s *sim) {
 			s.unguardLives = func(c *Core) {
 				for id := range c.unresolved {
-					if len(c.names[id.Name()].incarnations) > 1 {
+					if len(c.incarnationsByName[id.Name()].incarnations) > 1 {
 						c.resolve(id, "another life answers", s.instant())
 					}
 				}
--- a/dispatch/sim_test.go
+++ b/dispatch/sim_test.go
@@ -260,7 +260,7 @@
 	if s.believeEntries {
 		for _, w := range o.core.workers {
 			if !w.listed {
-				w.overReason = "not listed"
+				w.endReason = "not listed"
 			}
 		}
 	}
@@ -441,14 +441,14 @@
 }
 
 func (s *sim) poll(o *simOwner, id WorkerID) {
-	plan := o.core.PlanHold(id, s.instant())
+	plan := o.core.PlanPoll(id, s.instant())
 	if !plan.Send {
 		return
 	}
 	o.polling[id] = true
-	var reply HoldReply
+	var reply PollReply
 	var outcome Outcome
-	finish := func(reply HoldReply, outcome Outcome) {
+	finish := func(reply PollReply, outcome Outcome) {
 		pause := s.holdDone(o.core, plan.Order, reply, outcome)
 		s.later(pause+time.Duration(s.rng.IntN(300))*time.Millisecond, func() { o.polling[id] = false })
 	}
@@ -460,11 +460,11 @@
 		asked.Wait = 0
 	}
 	var at *simWorker
-	lost := func() { s.answer(o, func() { finish(HoldReply{}, OutcomeUnknown) }) }
+	lost := func() { s.answer(o, func() { finish(PollReply{}, OutcomeUnknown) }) }
 	s.call(o, s.byAddress(plan.Order.Address), plan.Order.Token, func(w *simWorker) { at = w; reply, outcome = w.hold(asked) },
 		func() {
 			if (s.longPolls || asked.Wait == startGap) && outcome == OutcomeOK {
-				s.awaitEnd(at, asked, func(reply HoldReply) { s.answer(o, func() { finish(reply, OutcomeOK) }) }, lost)
+				s.awaitEnd(at, asked, func(reply PollReply) { s.answer(o, func() { finish(reply, OutcomeOK) }) }, lost)
 				return
 			}
 			s.answer(o, func() { finish(reply, outcome) })
@@ -473,7 +473,7 @@
 
 // pollDone has a core process a poll reply. With retryBeforeLists, tasks that failed are started
 // again as if all workers of the previous owner had answered.
-func (s *sim) holdDone(core *Core, order HoldOrder, reply HoldReply, outcome Outcome) time.Duration {
+func (s *sim) holdDone(core *Core, order PollRequest, reply PollReply, outcome Outcome) time.Duration {
 	w := core.workers[order.Worker]
 	s.misread(core, w, reply)
 	if s.alterReply != nil {
@@ -485,7 +485,7 @@
 		core.unresolved, core.openUnresolved = nil, 0
 		defer func() { core.unresolved, core.openUnresolved = waiting, open }()
 	}
-	return core.HoldDone(order, reply, outcome, s.instant())
+	return core.PollDone(order, reply, outcome, s.instant())
 }
 
 // step advances virtual time by one tick and lets workers and owners act.
--- a/dispatch/sim_worker_test.go
+++ b/dispatch/sim_worker_test.go
@@ -105,13 +105,13 @@
 }
 
 // poll carries out a poll request.
-func (w *simWorker) hold(h HoldOrder) (HoldReply, Outcome) {
+func (w *simWorker) hold(h PollRequest) (PollReply, Outcome) {
 	w.advance()
 	if !w.alive || h.Worker.Name() != w.info.ID.Name() {
-		return HoldReply{}, w.wrongLife()
+		return PollReply{}, w.wrongLife()
 	}
 	if h.Token < w.term && !w.sim.noFence {
-		return HoldReply{}, OutcomeFenced
+		return PollReply{}, OutcomeFenced
 	}
 	w.term = max(w.term, h.Token)
 	if h.DeadlineMS > 0 {
@@ -128,8 +128,8 @@
 }
 
 // lists returns the worker's running and ended tasks.
-func (w *simWorker) lists() HoldReply {
-	reply := HoldReply{ClockMS: w.clock(), Born: w.info.ID.Born(), Ended: append([]EndedTask(nil), w.ended...)}
+func (w *simWorker) lists() PollReply {
+	reply := PollReply{ClockMS: w.clock(), Born: w.info.ID.Born(), Ended: append([]EndedTask(nil), w.ended...)}
 	for _, r := range w.sorted() {
 		row := RunningTask{Task: r.task, Run: r.run, Percent: r.percent(w.sim.now), Checkpoint: r.saved(w.sim, false)}
 		row.Reading, row.HasReading = w.reading(r)
@@ -232,7 +232,7 @@
 	}
 	if w.sim.chance(w.sim.noRoomShare) {
 		w.sim.refused++
-		return Answer{Outcome: OutcomeNoRoom, ClockMS: clock}
+		return Answer{Outcome: OutcomeNoCapacity, ClockMS: clock}
 	}
 	work := time.Duration(200+w.sim.rng.IntN(2500)) * time.Millisecond
 	if w.sim.specs[o.Task.Job].Steps[o.Task.Step].Lasting {
@@ -254,5 +254,5 @@
 	if !w.alive && w.sim.deadRefuse {
 		return OutcomeBroken
 	}
-	return OutcomeOtherLife
+	return OutcomeOtherIncarnation
 }
--- a/dispatch/speed.go
+++ b/dispatch/speed.go
@@ -200,7 +200,7 @@
 	}
 	*n = slowCount{known: true, at: now.Steady}
 	for _, w := range c.members[service] {
-		c.work.slowLooks++
+		c.work.slowChecks++
 		if !w.listed {
 			continue
 		}
--- a/dispatch/speed_test.go
+++ b/dispatch/speed_test.go
@@ -17,7 +17,7 @@
 
 func newSpeedCase(workers int, step job.Step) *speedCase {
 	s := &speedCase{now: Instant{Steady: time.Second}}
-	s.core = sureCore(Params{Restore: 600 * time.Millisecond}, 1, s.now)
+	s.core = leasedCore(Params{Restore: 600 * time.Millisecond}, 1, s.now)
 	var infos []WorkerInfo
 	var ids []WorkerID
 	for i := range workers {
@@ -28,7 +28,7 @@
 	s.core.SetWorkers(infos, s.now)
 	storeOpen(s.core, ids...)
 	for _, id := range ids {
-		s.core.HoldDone(HoldOrder{Worker: id}, HoldReply{ClockMS: 1}, OutcomeOK, s.now)
+		s.core.PollDone(PollRequest{Worker: id}, PollReply{ClockMS: 1}, OutcomeOK, s.now)
 	}
 	spec := simpleJob(1, 1)
 	step.CPUMilli, step.MaxPerWorker = 1000, 1
@@ -55,7 +55,7 @@
 				continue
 			}
 			row := RunningTask{Task: t.id(), Run: a.run, Percent: progress(t.index, s.now.Steady-a.started)}
-			s.core.HoldDone(HoldOrder{Worker: a.worker.info.ID}, HoldReply{ClockMS: s.now.Steady.Milliseconds(), Running: []RunningTask{row}}, OutcomeOK, s.now)
+			s.core.PollDone(PollRequest{Worker: a.worker.info.ID}, PollReply{ClockMS: s.now.Steady.Milliseconds(), Running: []RunningTask{row}}, OutcomeOK, s.now)
 		}
 		orders = append(orders, s.core.TakeOrders()...)
 	}
@@ -132,7 +132,7 @@
 // nothing running, if there is none elsewhere.
 func TestSlowWorkersServeWhatHasNoOtherPlace(t *testing.T) {
 	now := Instant{Steady: time.Minute}
-	core := sureCore(Params{}, 1, now)
+	core := leasedCore(Params{}, 1, now)
 	slow := core.addWorker(testWorkerInfo("slow", "m1"), now)
 	slow.slowUntil = now.Steady + slowPause
 	sound := core.addWorker(testWorkerInfo("sound", "m2"), now)
--- a/dispatch/startrecord.go
+++ b/dispatch/startrecord.go
@@ -50,7 +50,7 @@
 		switch {
 		case a.task.attempt != a || a.stopping:
 		case now.Steady-a.placedAt > startWindow || a.worker.info.Draining || c.evacuated[a.worker.info.DataCentre]:
-			c.tellGivenUp("start_not_sent", a, "the store did not take its record, or its worker takes none", "", now.Steady-a.placedAt)
+			c.logGivenUp("start_not_sent", a, "the store did not take its record, or its worker takes none", "", now.Steady-a.placedAt)
 			c.release(a, now)
 		case a.task.step.job.persisted < u.version:
 			c.unsentStarts = append(c.unsentStarts, u)
--- a/dispatch/suspect.go
+++ b/dispatch/suspect.go
@@ -140,7 +140,7 @@
 	}
 	c.touch(j)
 	c.setCrashes(t, j.progress.CrashCount(t.id()).All)
-	c.tellTask("task_suspected", t, nil, 0, reason)
+	c.logTask("task_suspected", t, nil, 0, reason)
 }
 
 // clearSuspicion ends the suspicion of a task: a run has outlived its start, or reported its
@@ -158,7 +158,7 @@
 	progress.ClearCrashes(t.id())
 	c.touch(t.step.job)
 	c.setCrashes(t, 0)
-	c.tellTask("task_cleared", t, nil, run, reason)
+	c.logTask("task_cleared", t, nil, run, reason)
 }
 
 // clearIfOutlived clears a suspect whose run still works startCrashWindow after its start.
--- a/dispatch/suspect_test.go
+++ b/dispatch/suspect_test.go
@@ -410,7 +410,7 @@
 // TestRosterKeepsRecentRuns: roster entries with task names that are invalid or unknown are harmless.
 func TestRosterKeepsRecentRuns(t *testing.T) {
 	now := Instant{Steady: time.Second}
-	entry := RosterEntry{ID: "old", Address: "old", VM: "m1", Closed: true, Tasks: []string{"x"}, Young: []LostRun{{Task: "x", Run: 1}, {Task: fmt.Sprintf("%016x.0.0.9", 1), Run: 2}}}
+	entry := RosterEntry{ID: "old", Address: "old", VM: "m1", Closed: true, Tasks: []string{"x"}, RecentRuns: []LostRun{{Task: "x", Run: 1}, {Task: fmt.Sprintf("%016x.0.0.9", 1), Run: 2}}}
 	core := recoveredCore(now, entry)
 	core.SetWorkers([]WorkerInfo{testWorkerInfo("new", "m1")}, now)
 	core.AddJob(simpleJob(1, 1), nil, true, now)
--- a/dispatch/unheard.go
+++ b/dispatch/unheard.go
@@ -41,27 +41,27 @@
 // recordUnreadLoss records what may have run at a worker that was lost before its lists were read.
 func (c *Core) recordUnreadLoss(u unresolvedWorker) {
 	c.lostInTerm.add(u)
-	c.lostUnheard.add(u)
-	c.unheardStale = true
+	c.lostUnread.add(u)
+	c.unreadStale = true
 }
 
 // forgetUnread forgets the tasks that may have run at lost workers, once no worker of the
 // previous owner is awaited and each task with a possible crash has outlived a start since.
 // Until then the record is kept: owners may end before such a task is started again.
 func (c *Core) forgetUnread() {
-	if len(c.unresolved) == 0 && !c.unknown && c.doubtful == 0 && !c.lostUnheard.none() {
-		c.lostUnheard, c.lostInTerm = unreadTasks{}, unreadTasks{}
-		c.unheardStale = true
+	if len(c.unresolved) == 0 && !c.unknown && c.possibleCrashTasks == 0 && !c.lostUnread.none() {
+		c.lostUnread, c.lostInTerm = unreadTasks{}, unreadTasks{}
+		c.unreadStale = true
 	}
 }
 
 // Unread returns the record of the tasks that may have run at lost workers, for an owner that
 // takes over before they are forgotten; nil if the store has it.
 func (c *Core) Unread() ([]byte, error) {
-	if !c.unheardStale {
+	if !c.unreadStale {
 		return nil, nil
 	}
-	return json.Marshal(unreadRecord{c.lostUnheard.any, slices.Sorted(maps.Keys(c.lostUnheard.tasks))})
+	return json.Marshal(unreadRecord{c.lostUnread.any, slices.Sorted(maps.Keys(c.lostUnread.tasks))})
 }
 
 // UnreadStored records that the store holds what Unread returned.
@@ -70,7 +70,7 @@
 		return
 	}
 	newest, err := c.Unread()
-	c.unheardStale = err != nil || !bytes.Equal(value, newest)
+	c.unreadStale = err != nil || !bytes.Equal(value, newest)
 }
 
 // RecoverUnread applies the previous owner's record. One that can't be decoded stands for
@@ -78,13 +78,13 @@
 func (c *Core) RecoverUnread(value []byte) error {
 	var r unreadRecord
 	if err := json.Unmarshal(value, &r); err != nil {
-		c.lostUnheard.add(unresolvedWorker{open: true})
+		c.lostUnread.add(unresolvedWorker{open: true})
 		return err
 	}
 	u := unresolvedWorker{open: r.Any, tasks: map[string]bool{}}
 	for _, id := range r.Tasks {
 		u.tasks[id] = true
 	}
-	c.lostUnheard.add(u)
+	c.lostUnread.add(u)
 	return nil
 }
--- a/dispatch/unheard_test.go
+++ b/dispatch/unheard_test.go
@@ -14,15 +14,15 @@
 		`{"tasks":["` + single.ID + `.0.0.1"]}`: {false, true},
 		`{"tasks":["` + gang.ID + `.0.0.1"]}`:   {true, false},
 	} {
-		core := sureCore(Params{}, 1, Instant{})
+		core := leasedCore(Params{}, 1, Instant{})
 		if err := core.RecoverUnread([]byte(value)); (err != nil) != (value == "{") {
 			t.Errorf("%s: %v", value, err)
 		}
 		core.AddJob(gang, nil, false, Instant{})
 		core.AddJob(single, nil, false, Instant{})
 		has := [2]bool{
-			core.lostUnheard.has(core.jobs[gang.ID].steps[0].tasks[0]),
-			core.lostUnheard.has(core.jobs[single.ID].steps[0].tasks[1]),
+			core.lostUnread.has(core.jobs[gang.ID].steps[0].tasks[0]),
+			core.lostUnread.has(core.jobs[single.ID].steps[0].tasks[1]),
 		}
 		if has != want {
 			t.Errorf("%s: %v, want %v", value, has, want)
--- a/dispatch/unorderedrun_test.go
+++ b/dispatch/unorderedrun_test.go
@@ -19,7 +19,7 @@
 	if progress.IsDone(first.Task) || progress.FailureCount(first.Task) > 0 {
 		t.Errorf("done %v, %d failures", progress.IsDone(first.Task), progress.FailureCount(first.Task))
 	}
-	if seen := x.core.workers[first.Worker].seen; seen != 6 {
+	if seen := x.core.workers[first.Worker].storedEnd; seen != 6 {
 		t.Errorf("ends up to %d may be forgotten, want 6", seen)
 	}
 	x.list(first.Worker, nil, endOf(first, EndDone, ""))
--- a/dispatch/unsurepace_test.go
+++ b/dispatch/unsurepace_test.go
@@ -11,8 +11,8 @@
 	var paces []int
 	for at := from; at < to; at += 200 * time.Millisecond {
 		now := Instant{Steady: at}
-		order := core.PlanHold("w1", now).Order
-		core.HoldDone(order, HoldReply{ClockMS: at.Milliseconds(), Running: []RunningTask{row}}, OutcomeOK, now)
+		order := core.PlanPoll("w1", now).Order
+		core.PollDone(order, PollReply{ClockMS: at.Milliseconds(), Running: []RunningTask{row}}, OutcomeOK, now)
 		core.Tick(now)
 		for _, o := range core.TakeOrders() {
 			if o.Kind == OrderPace {
@@ -35,7 +35,7 @@
 	core.AddJob(spec, nil, true, now)
 	work := core.jobs[spec.ID].steps[0].tasks[0]
 	row := RunningTask{Task: work.id(), Run: 1<<runBits | 1}
-	core.HoldDone(core.PlanHold("w1", now).Order, HoldReply{ClockMS: now.Steady.Milliseconds(), Running: []RunningTask{row}}, OutcomeOK, now)
+	core.PollDone(core.PlanPoll("w1", now).Order, PollReply{ClockMS: now.Steady.Milliseconds(), Running: []RunningTask{row}}, OutcomeOK, now)
 	if work.attempt == nil {
 		t.Fatal("the run is not adopted")
 	}
--- a/dispatch/upkeep.go
+++ b/dispatch/upkeep.go
@@ -176,8 +176,8 @@
 // takeDown records the intent to take empty VMs down, as many as may be down at
 // once, and gives the orders whose intent is recorded.
 func (c *Core) takeDown(s *waveState, now Instant) {
-	holdsLease := now.Steady+UpkeepTimeout < c.certainUntil
-	if !holdsLease || now.Steady < c.firstRenewed+c.params.HolderGap {
+	holdsLease := now.Steady+UpkeepTimeout < c.leaseHeldUntil
+	if !holdsLease || now.Steady < c.leaseHeldSince+c.params.HolderGap {
 		return // another owner may give orders, or may have done so just before
 	}
 	free := s.AtOnce - s.down()
@@ -192,7 +192,7 @@
 			s.version++
 		case u.intended && s.persisted == s.version:
 			u.calling = true
-			c.upkeeps = append(c.upkeeps, UpkeepOrder{s.Number, u.vm, c.term})
+			c.maintenanceOrders = append(c.maintenanceOrders, UpkeepOrder{s.Number, u.vm, c.term})
 			c.trace(Decision{Event: "upkeep_ordered", Worker: u.life, Reason: u.vm})
 		}
 	}
@@ -200,7 +200,7 @@
 
 // empty reports whether nothing runs or may start at a worker.
 func (w *worker) empty() bool {
-	return w.synced && len(w.attempts) == 0 && len(w.foreign) == 0
+	return w.synced && len(w.attempts) == 0 && len(w.unexpected) == 0
 }
 
 // finishWave ends a wave once the maintenance of all its VMs has ended.
@@ -217,8 +217,8 @@
 
 // TakeUpkeeps returns the orders decided since the last call.
 func (c *Core) TakeUpkeeps() []UpkeepOrder {
-	list := c.upkeeps
-	c.upkeeps = nil
+	list := c.maintenanceOrders
+	c.maintenanceOrders = nil
 	return list
 }
 
@@ -244,7 +244,7 @@
 		u.begun, u.begunAt = true, now.Steady
 		s.version++
 		if w := c.workers[u.life]; w != nil {
-			w.takenDown = true
+			w.endedByMaintenance = true
 		}
 	case UpkeepNotWanted:
 		u.void = true
--- a/dispatch/upkeep_drain.go
+++ b/dispatch/upkeep_drain.go
@@ -70,7 +70,7 @@
 }
 
 func (c *Core) hasTasksOn(vm string) bool {
-	return slices.ContainsFunc(c.lives[vm], func(w *worker) bool { return len(w.attempts) > 0 })
+	return slices.ContainsFunc(c.incarnations[vm], func(w *worker) bool { return len(w.attempts) > 0 })
 }
 
 // cordon keeps new tasks off a worker whose VM waits for its maintenance.
@@ -143,8 +143,8 @@
 // incarnation may still be listed beside the current one, which is returned.
 func (c *Core) workerOfVM(vm string) *worker {
 	var found *worker
-	for _, w := range c.lives[vm] {
-		if !w.listed || w.takenDown {
+	for _, w := range c.incarnations[vm] {
+		if !w.listed || w.endedByMaintenance {
 			continue
 		}
 		if found == nil || found.cordoned && !w.cordoned || found.cordoned == w.cordoned && w.info.ID > found.info.ID {
--- a/dispatch/upkeep_test.go
+++ b/dispatch/upkeep_test.go
@@ -56,9 +56,9 @@
 		switch {
 		case u.core.workers[info.ID] == nil:
 		case u.vms[info.VM].down:
-			u.core.HoldDone(HoldOrder{Worker: info.ID}, HoldReply{}, OutcomeUnknown, u.now)
+			u.core.PollDone(PollRequest{Worker: info.ID}, PollReply{}, OutcomeUnknown, u.now)
 		default:
-			u.core.HoldDone(HoldOrder{Worker: info.ID}, HoldReply{ClockMS: u.now.Steady.Milliseconds() + 1}, OutcomeOK, u.now)
+			u.core.PollDone(PollRequest{Worker: info.ID}, PollReply{ClockMS: u.now.Steady.Milliseconds() + 1}, OutcomeOK, u.now)
 		}
 	}
 }
@@ -208,15 +208,15 @@
 // down only when it is empty.
 func TestUpkeepSparesLastingTasks(t *testing.T) {
 	now := Instant{Steady: time.Second}
-	core := sureCore(Params{}, 1, now)
+	core := leasedCore(Params{}, 1, now)
 	var infos []WorkerInfo
 	for i := range 2 {
 		infos = append(infos, WorkerInfo{ID: WorkerID(fmt.Sprintf("w%d", i)), VM: fmt.Sprintf("m%d", i), Address: "a", Service: "svc", CPUMilli: 16000, MemoryMiB: 64000})
 	}
 	core.SetWorkers(infos[:1], now) // all tasks start on the first
 	storeOpen(core, "w0")
-	core.HoldDone(HoldOrder{Worker: "w0"}, HoldReply{ClockMS: 1}, OutcomeOK, now)
-	spec := lastingJob(1, 3)
+	core.PollDone(PollRequest{Worker: "w0"}, PollReply{ClockMS: 1}, OutcomeOK, now)
+	spec := longRunningJob(1, 3)
 	spec.Steps[0].MaxAway = 1
 	core.AddJob(spec, nil, false, now)
 	core.Schedule(now)
@@ -227,7 +227,7 @@
 	}
 	core.SetWorkers(infos, now)
 	storeOpen(core, "w0", "w1")
-	core.HoldDone(HoldOrder{Worker: "w1"}, HoldReply{ClockMS: 1}, OutcomeOK, now)
+	core.PollDone(PollRequest{Worker: "w1"}, PollReply{ClockMS: 1}, OutcomeOK, now)
 	if err := core.SetWave(Wave{Number: 1, VMs: []string{"m0"}, Allowed: 10 * time.Second, AtOnce: 1}, nil, now); err != nil {
 		t.Fatal(err)
 	}
@@ -236,7 +236,7 @@
 		now.Steady += 100 * time.Millisecond
 		clock := now.Steady.Milliseconds()
 		for _, id := range []WorkerID{"w0", "w1"} {
-			core.HoldDone(HoldOrder{Worker: id}, HoldReply{ClockMS: clock, Running: rows[id]}, OutcomeOK, now)
+			core.PollDone(PollRequest{Worker: id}, PollReply{ClockMS: clock, Running: rows[id]}, OutcomeOK, now)
 		}
 		core.Tick(now)
 		if len(core.TakeUpkeeps()) > 0 {
@@ -259,7 +259,7 @@
 				stopped++
 				number++
 				rows["w0"] = rows["w0"][1:]
-				core.HoldDone(HoldOrder{Worker: "w0"}, HoldReply{ClockMS: clock + 1, Running: rows["w0"], Ended: []EndedTask{{Number: number, Task: o.Task, Run: o.Run, Kind: EndStopped}}}, OutcomeOK, now)
+				core.PollDone(PollRequest{Worker: "w0"}, PollReply{ClockMS: clock + 1, Running: rows["w0"], Ended: []EndedTask{{Number: number, Task: o.Task, Run: o.Run, Kind: EndStopped}}}, OutcomeOK, now)
 			case OrderStart:
 				if o.Worker != "w1" {
 					t.Fatalf("a start at the cordoned worker")
--- a/dispatch/worker.go
+++ b/dispatch/worker.go
@@ -19,28 +19,28 @@
 	// Waits of long polls. A worker that runs fill tasks beside serving tasks is
 	// polled more often than every half second, the window of its readings;
 	// others only for ends and to renew the lease.
-	holdWaitWatched = 450 * time.Millisecond
-	holdWait        = 1500 * time.Millisecond
+	pollWaitWatched = 450 * time.Millisecond
+	pollWaitDefault = 1500 * time.Millisecond
 	// unansweredPollTime is the time that an unanswered poll takes beyond its wait until the
 	// next one renews the lease: its timeout, the pause, and a poll that renews no lease.
-	missedPoll = 900 * time.Millisecond
+	unansweredPollTime = 900 * time.Millisecond
 	// pollPauseUnstoredEnds is the pause before the next poll while ends wait to be
 	// persisted: the worker would answer at once.
-	holdGapUnsaved = 60 * time.Millisecond
+	pollPauseUnstoredEnds = 60 * time.Millisecond
 	// pollRetryMin and pollRetryMax bound the back-off of failed polls.
-	holdRetryMin = 100 * time.Millisecond
-	holdRetryMax = 800 * time.Millisecond
+	pollRetryMin = 100 * time.Millisecond
+	pollRetryMax = 800 * time.Millisecond
 	// incarnationFresh is the age of a worker's newest answer up to which the incarnation
 	// that gave it still runs: a restart takes longer.
-	lifeFresh = 200 * time.Millisecond
+	incarnationFresh = 200 * time.Millisecond
 	// startGap is the longest time that a worker takes from the check of a start's term to
 	// the start itself, with a margin for a worker that lacks processor time.
 	startGap = 50 * time.Millisecond
 	// maxCallDelay is how long after it was sent a call may still be carried out.
-	lateCall = time.Second
+	maxCallDelay = time.Second
 	// unreachedAfter is the number of consecutive unanswered calls after which a worker
 	// gets no new tasks.
-	suspectAfter = 2
+	unreachedAfter = 2
 )
 
 // worker is the owner's record of one incarnation of a worker.
@@ -55,7 +55,7 @@
 	// run; see mayBeStarting.
 	partlyRead bool
 	// hasPredecessor is set if another incarnation of its id was known before; see inherit.
-	follows bool
+	hasPredecessor bool
 	// fencedAt is when it first answered a poll under this term; it refuses starts of
 	// earlier terms that arrive later.
 	fencedAt time.Duration
@@ -68,58 +68,58 @@
 	// leaseSent is when the newest call with a deadline was sent.
 	leaseSent time.Duration
 	// confirmedDeadline is the latest deadline that the worker has confirmed.
-	sureDeadline int64
+	confirmedDeadline int64
 	// forLease is set if its newest list was requested early, to renew the lease.
 	forLease bool
 	// unansweredAck is the highest acknowledgement sent since the newest answer.
 	// endsUncertain is set if the previous incarnation had one, see excludeForAcknowledgement.
-	ackUnanswered uint64
-	endsDoubted   bool
+	unansweredAck uint64
+	endsUncertain bool
 	// processedEnd is the number of the last end processed, storedEnd that of the last
 	// one that the worker may forget; ends lists those between.
 	// processed is the last end taken into account, seen the last that the
 	// worker may forget; ends lists those between.
-	processed, seen uint64
-	told            uint64 // acknowledgement of ends that the worker has answered
-	ends            []pendingEnd
-	attempts        []*attempt // in the order of their start orders
-	foreign         map[job.TaskID]foreignRun
-	used            resources
-	lasting         resources // declared, of long-running tasks
-	shortTasks      int
-	kept            bool // reserved for short tasks; see keptRoom
-	unanswered      int
-	holdFails       int
-	knownAt         time.Duration // when the owner first had a record of it
-	lastAnswer      time.Duration // to a poll
-	heardAt         time.Duration // when it last answered any call
-	loss            contactLoss
-	placedAt        time.Duration // when a run was last ordered there
-	suspectUntil    time.Duration // until then a suspect task counts as just started there
-	holdSent        time.Duration // when the newest poll was sent
-	answeredSent    time.Duration // when the newest poll with an answer was sent
-	failedSent      time.Duration // when the newest poll without an answer was sent
-	strikes         int
-	failStreak      int
-	avoidUntil      time.Duration
-	fullUntil       time.Duration // until then it gets no tasks: it had no capacity, or a suspect task is on trial
-	overReason      string        // why its incarnation has ended, while that conclusion is deferred
-	leavesAt        time.Duration // latest time at which a draining worker ends
-	load            workerLoad
-	sample          sample
-	reserved        time.Duration // until then no more fill tasks are preempted here
-	openness        float64       // see rateOpenness
-	cordoned        bool          // its VM waits for maintenance: no new tasks
-	takenDown       bool          // the maintenance of its VM has ended this incarnation
-	slowUntil       time.Duration // until then short tasks go elsewhere if they can
-	coldUntil       time.Duration // see WorkerInfo.Cold
-	slowStrikes     int
-	slowness        float64 // logarithm of its run times relative to the usual ones, smoothed
-	speedMeasures   int
-	over            time.Duration // how long a task was over its target, by the newest list
-	squeeze         float64       // further scale of paces, from 0 to 1
-	recorded        bool          // the stored roster names it
-	gates           gates
+	processedEnd, storedEnd uint64
+	acknowledgedEnd         uint64 // acknowledgement of ends that the worker has answered
+	ends                    []pendingEnd
+	attempts                []*attempt // in the order of their start orders
+	unexpected              map[job.TaskID]unexpectedRun
+	used                    resources
+	longRunning             resources // declared, of long-running tasks
+	shortTasks              int
+	isReserved              bool // reserved for short tasks; see keptRoom
+	unansweredCalls         int
+	failedPolls             int
+	knownAt                 time.Duration // when the owner first had a record of it
+	lastPollAnswer          time.Duration // to a poll
+	lastContact             time.Duration // when it last answered any call
+	loss                    contactLoss
+	placedAt                time.Duration // when a run was last ordered there
+	suspectUntil            time.Duration // until then a suspect task counts as just started there
+	pollSent                time.Duration // when the newest poll was sent
+	answeredPollSent        time.Duration // when the newest poll with an answer was sent
+	failedPollSent          time.Duration // when the newest poll without an answer was sent
+	strikes                 int
+	failStreak              int
+	avoidUntil              time.Duration
+	fullUntil               time.Duration // until then it gets no tasks: it had no capacity, or a suspect task is on trial
+	endReason               string        // why its incarnation has ended, while that conclusion is deferred
+	leavesAt                time.Duration // latest time at which a draining worker ends
+	load                    workerLoad
+	sample                  sample
+	noPreemptionUntil       time.Duration // until then no more fill tasks are preempted here
+	fillAcceptance          float64       // see rateOpenness
+	cordoned                bool          // its VM waits for maintenance: no new tasks
+	endedByMaintenance      bool          // the maintenance of its VM has ended this incarnation
+	slowUntil               time.Duration // until then short tasks go elsewhere if they can
+	coldUntil               time.Duration // see WorkerInfo.Cold
+	slowStrikes             int
+	slowness                float64 // logarithm of its run times relative to the usual ones, smoothed
+	speedMeasures           int
+	overTarget              time.Duration // how long a task was over its target, by the newest list
+	paceScale               float64       // further scale of paces, from 0 to 1
+	recorded                bool          // the stored roster names it
+	gates                   gates
 }
 
 // resources is an amount of a worker's capacity that tasks use.
@@ -133,8 +133,8 @@
 	version uint64
 }
 
-// foreignRun is a listed run that the owner did not expect; the owner stops it.
-type foreignRun struct {
+// unexpectedRun is a listed run that the owner did not expect; the owner stops it.
+type unexpectedRun struct {
 	run    uint64
 	askAt  time.Duration
 	amount resources
@@ -163,7 +163,7 @@
 	s := a.task.step
 	w.used = w.used.add(s.amount(), 1)
 	if s.spec.Lasting {
-		w.lasting = w.lasting.add(s.amount(), 1)
+		w.longRunning = w.longRunning.add(s.amount(), 1)
 	}
 	if s.short() {
 		w.shortTasks++
@@ -175,7 +175,7 @@
 	s := a.task.step
 	w.used = w.used.add(s.amount(), -1)
 	if s.spec.Lasting {
-		w.lasting = w.lasting.add(s.amount(), -1)
+		w.longRunning = w.longRunning.add(s.amount(), -1)
 	}
 	if s.short() {
 		w.shortTasks--
@@ -185,8 +185,8 @@
 // fits reports whether the worker has capacity for one more task of that amount.
 func (w *worker) fits(r resources) bool {
 	used := w.used
-	if len(w.foreign) > 0 {
-		for _, f := range w.foreign {
+	if len(w.unexpected) > 0 {
+		for _, f := range w.unexpected {
 			if f.unsized {
 				return false
 			}
@@ -198,11 +198,11 @@
 }
 
 // unreached reports whether the worker did not answer its newest polls.
-func (w *worker) unreached() bool { return w.holdFails >= suspectAfter }
+func (w *worker) unreached() bool { return w.failedPolls >= unreachedAfter }
 
 // recordClock records a clock reading; it reports false if the reading is older than
 // one recorded before, because answers arrived out of order.
-func (w *worker) noteClock(clock int64, now Instant) bool {
+func (w *worker) recordClock(clock int64, now Instant) bool {
 	if clock == 0 || clock < w.clock {
 		return false
 	}
@@ -217,7 +217,7 @@
 
 // deadlinePassed reports whether the worker's clock has passed a deadline even if
 // it runs as slowly as allowed.
-func (w *worker) surelyPast(deadline int64, now Instant) bool {
+func (w *worker) deadlinePassed(deadline int64, now Instant) bool {
 	left := time.Duration(float64(deadline-w.clock)/clockRate) * time.Millisecond
 	return now.Steady > w.clockAt+left+clockMargin
 }
@@ -226,7 +226,7 @@
 // but not beyond the owner's right to give orders; 0 if that right has ended.
 func (c *Core) deadlineIn(w *worker, ahead time.Duration, now Instant) int64 {
 	clock := w.clockNow(now)
-	deadline := min(clock+min(ahead, c.params.MaxTaskLease).Milliseconds(), w.leastAt(c.validUntil))
+	deadline := min(clock+min(ahead, c.params.MaxTaskLease).Milliseconds(), w.minClockAt(c.validUntil))
 	if deadline <= clock {
 		return 0
 	}
@@ -236,18 +236,18 @@
 
 // pollWaitForRecentRuns returns how long a poll may wait so that, if it stays unanswered,
 // the leases of runs started since the last answer can still be renewed in time.
-func (w *worker) waitForYoung(now Instant) time.Duration {
+func (w *worker) pollWaitForRecentRuns(now Instant) time.Duration {
 	recent := slices.ContainsFunc(w.attempts, func(a *attempt) bool { return a.ackClock != 0 && !a.listed })
 	if !recent {
-		return holdWait
+		return pollWaitDefault
 	}
-	left := time.Duration(w.sureDeadline-w.clockNow(now)) * time.Millisecond
-	return max(left-missedPoll, 0)
+	left := time.Duration(w.confirmedDeadline-w.clockNow(now)) * time.Millisecond
+	return max(left-unansweredPollTime, 0)
 }
 
 // minClockAt returns the least that the worker's clock may show at a future time. It
 // counts from the last reading: the clock of a worker that is idle for a minute may
 // be 1.2 s behind the estimate, by which a lease would outlast the owner's right.
-func (w *worker) leastAt(t time.Duration) int64 {
+func (w *worker) minClockAt(t time.Duration) int64 {
 	return w.clock + int64(float64((t-w.clockAt).Milliseconds())*clockRate)
 }
--- a/node/contact.go
+++ b/node/contact.go
@@ -79,9 +79,9 @@
 // pollLoop keeps the leases at one worker and reads its lists.
 func (o *owner) pollLoop(ctx context.Context, id dispatch.WorkerID) {
 	for ctx.Err() == nil {
-		var plan dispatch.HoldPlan
+		var plan dispatch.PollPlan
 		o.locked(func(c *dispatch.Core, now dispatch.Instant) {
-			plan = c.PlanHold(id, now)
+			plan = c.PlanPoll(id, now)
 			if plan.Gone && ctx.Err() == nil {
 				// A worker that comes back before the next syncPollers gets a new one.
 				o.polled[id]()
@@ -105,7 +105,7 @@
 		}
 		var pause time.Duration
 		o.locked(func(c *dispatch.Core, now dispatch.Instant) {
-			pause = c.HoldDone(plan.Order, reply, outcome, now)
+			pause = c.PollDone(plan.Order, reply, outcome, now)
 		})
 		signal(o.wake)
 		sleep(ctx, pause)
--- a/node/pollers_test.go
+++ b/node/pollers_test.go
@@ -20,9 +20,9 @@
 	polls atomic.Int32
 }
 
-func (w *countedPolls) Hold(context.Context, dispatch.HoldOrder) (dispatch.HoldReply, dispatch.Outcome) {
+func (w *countedPolls) Hold(context.Context, dispatch.PollRequest) (dispatch.PollReply, dispatch.Outcome) {
 	w.polls.Add(1)
-	return dispatch.HoldReply{}, dispatch.OutcomeUnknown
+	return dispatch.PollReply{}, dispatch.OutcomeUnknown
 }
 
 // TestWorkerThatComesBackIsPolled: a worker that the core forgets between two reads
--- a/node/relay_test.go
+++ b/node/relay_test.go
@@ -140,7 +140,7 @@
 	core.SetConfig(queue(1, "old"))
 	now := dispatch.Instant{Steady: time.Second}
 	core.SetWorkers([]dispatch.WorkerInfo{{ID: "w", Address: "w", Service: "old"}}, now)
-	if plan := core.PlanHold("w", now); plan.Send {
+	if plan := core.PlanPoll("w", now); plan.Send {
 		t.Error("a worker of an older version's service is polled")
 	}
 }
--- a/node/store.go
+++ b/node/store.go
@@ -31,7 +31,7 @@
 
 // Workers sends orders to workers.
 type Workers interface {
-	Hold(ctx context.Context, h dispatch.HoldOrder) (dispatch.HoldReply, dispatch.Outcome)
+	Hold(ctx context.Context, h dispatch.PollRequest) (dispatch.PollReply, dispatch.Outcome)
 	Send(ctx context.Context, o dispatch.Order) dispatch.Answer
 	// Abort breaks off the calls under way.
 	Abort()
