--- a/dispatch/admit.go
+++ b/dispatch/admit.go
@@ -8,16 +8,16 @@
 
 // Limits of admission control, which refuses jobs that would start too late to be of use.
 const (
-	// admitPart of a long-running job's tasks must find capacity at once. If all had to,
+	// admitFraction of a long-running job's tasks must find capacity at once. If all had to,
 	// the widest jobs would be refused long before the others.
-	admitPart = 0.5
+	admitFraction = 0.5
 	// crowdedAfter is how long short tasks have waited continuously when entries begin to
 	// ask before they record further ones: a burst is placed within a pass or two.
 	crowdedAfter = 500 * time.Millisecond
-	// retryLeast and retryMost bound the time after which a refused customer is asked to
+	// minAdmitRetry and maxAdmitRetry bound the time after which a refused customer is asked to
 	// retry.
-	retryLeast = 1 * time.Second
-	retryMost  = 10 * time.Second
+	minAdmitRetry = 1 * time.Second
+	maxAdmitRetry = 10 * time.Second
 )
 
 // Admission is the owner's decision on a job that is not recorded yet.
@@ -41,12 +41,12 @@
 	}
 	var a Admission
 	if s := firstOf(spec, (*job.Step).LastingStep); s != nil {
-		a = c.admitLasting(k, q, s, now)
+		a = c.admitLongRunning(k, q, s, now)
 	} else if s := firstOf(spec, (*job.Step).ShortStep); s != nil {
 		a = c.admitShort(k, q, spec, s)
 	}
 	if a.Refused {
-		a.RetryAfter = min(max(a.RetryAfter, retryLeast), retryMost)
+		a.RetryAfter = min(max(a.RetryAfter, minAdmitRetry), maxAdmitRetry)
 		c.trace(Decision{Event: "job_not_admitted", Job: spec.ID, Reason: a.Reason, Age: a.RetryAfter})
 	}
 	return a
@@ -64,16 +64,16 @@
 
 // admitLongRunning refuses a long-running job that would have to use the capacity
 // reserved for short tasks, or would stay accepted without running.
-func (c *Core) admitLasting(k *reservedCapacity, q job.Queue, s *job.Step, now Instant) Admission {
+func (c *Core) admitLongRunning(k *reservedCapacity, q job.Queue, s *job.Step, now Instant) Admission {
 	if k.need == 0 || q.Priority < k.priority {
 		return Admission{}
 	}
-	places := c.lastingPlaces(q.Service, s, now) - c.lastingWaiting(q.Service)
-	lacking := admitPart*float64(s.Count) - float64(places)
+	places := c.longRunningSlots(q.Service, s, now) - c.longRunningWaiting(q.Service)
+	lacking := admitFraction*float64(s.Count) - float64(places)
 	if lacking <= 0 {
 		return Admission{}
 	}
-	retry := retryMost
+	retry := maxAdmitRetry
 	if k.left.mean > 0 {
 		retry = time.Duration(lacking * float64(s.CPUMilli) / k.left.mean * float64(time.Second))
 	}
@@ -82,14 +82,14 @@
 
 // longRunningSlots returns for how many tasks of a long-running step there is capacity
 // beside the long-running tasks of the workers that are not reserved.
-func (c *Core) lastingPlaces(service string, s *job.Step, now Instant) int {
+func (c *Core) longRunningSlots(service string, s *job.Step, now Instant) int {
 	amount, places := amountOf(s), 0
 	for _, w := range c.members[service] {
 		if w.isReserved || !c.inPool(w, service, now) {
 			continue
 		}
-		n := min(times(w.info.CPUMilli-w.longRunning.cpu, amount.cpu), times(w.info.MemoryMiB-w.longRunning.memory, amount.memory),
-			times(w.info.Accelerators-w.longRunning.accelerators, amount.accelerators))
+		n := min(countFits(w.info.CPUMilli-w.longRunning.cpu, amount.cpu), countFits(w.info.MemoryMiB-w.longRunning.memory, amount.memory),
+			countFits(w.info.Accelerators-w.longRunning.accelerators, amount.accelerators))
 		if s.MaxPerWorker > 0 {
 			n = min(n, s.MaxPerWorker)
 		}
@@ -99,7 +99,7 @@
 }
 
 // countFits returns how often an amount fits into the capacity.
-func times(capacity, amount int64) int {
+func countFits(capacity, amount int64) int {
 	if amount <= 0 {
 		return job.MaxTasks
 	}
@@ -107,7 +107,7 @@
 }
 
 // longRunningWaiting returns how many long-running tasks of a service are ready.
-func (c *Core) lastingWaiting(service string) int {
+func (c *Core) longRunningWaiting(service string) int {
 	n := 0
 	for _, s := range c.openSteps {
 		if s.spec.Lasting && c.queues[s.job.spec.Queue].Service == service {
@@ -131,7 +131,7 @@
 	if wait < useful.Seconds() {
 		return Admission{}
 	}
-	return Admission{Refused: true, Reason: "short tasks wait longer for room than it is of use", RetryAfter: time.Duration(min(wait, retryMost.Seconds()) * float64(time.Second))}
+	return Admission{Refused: true, Reason: "short tasks wait longer for room than it is of use", RetryAfter: time.Duration(min(wait, maxAdmitRetry.Seconds()) * float64(time.Second))}
 }
 
 // Crowded reports whether short tasks have waited for capacity for longer than crowdedAfter.
@@ -146,7 +146,7 @@
 
 // ReservedCPU returns what is reserved for short tasks of all services, and what short
 // tasks on time hold and wait for on average, in thousandths of a core.
-func (c *Core) KeptCPU() (reserved, demand int64) {
+func (c *Core) ReservedCPU() (reserved, demand int64) {
 	for _, k := range c.reservedCapacity {
 		reserved += k.available
 		demand += int64(k.demand.mean)
--- a/dispatch/admit_test.go
+++ b/dispatch/admit_test.go
@@ -7,18 +7,18 @@
 
 // TestLongRunningJobWithoutCapacityIsRefused: the refusal has the time in which other jobs free as
 // much capacity; a job that has capacity, or that is known already, is admitted.
-func TestLastingJobWithoutRoomIsRefused(t *testing.T) {
+func TestLongRunningJobWithoutCapacityIsRefused(t *testing.T) {
 	core, now := reservingCore(t, 40)
 	if a := core.Admit(longRunningJob(1, 20), now); a.Refused {
 		t.Fatalf("refused in a pool with capacity: %s", a.Reason)
 	}
 	large := longRunningJob(2, 1000)
 	a := core.Admit(large, now)
-	if !a.Refused || a.RetryAfter != retryMost {
+	if !a.Refused || a.RetryAfter != maxAdmitRetry {
 		t.Errorf("a job without capacity, where no task ends: %+v", a)
 	}
 	core.reservedCapacityOf("svc").left.mean = 150_000 // thousandths of a core a second
-	if b := core.Admit(large, now); !b.Refused || b.RetryAfter >= retryMost || b.RetryAfter < retryLeast {
+	if b := core.Admit(large, now); !b.Refused || b.RetryAfter >= maxAdmitRetry || b.RetryAfter < minAdmitRetry {
 		t.Errorf("where other tasks end, the retry is due after %v", b.RetryAfter)
 	}
 	core.AddJob(large, nil, false, now)
@@ -29,7 +29,7 @@
 
 // TestLateShortJobIsRefused: a short job is refused behind tasks that take longer to start than
 // the job is of use, and not otherwise.
-func TestShortJobIsRefusedWhenItCannotBeOfUse(t *testing.T) {
+func TestLateShortJobIsRefused(t *testing.T) {
 	core, now := idleCore(t, 4)
 	spec := simpleJob(1, 4)
 	k := core.reservedCapacityOf("svc")
@@ -44,7 +44,7 @@
 
 // TestCrowdedAfterSustainedWaiting: a burst that is placed within a pass or two does not make
 // entries ask.
-func TestCrowdedAfterAWhile(t *testing.T) {
+func TestCrowdedAfterSustainedWaiting(t *testing.T) {
 	core, now := idleCore(t, 1)
 	spec := simpleJob(1, 40)
 	spec.AcceptedMS = now.UnixMS
--- a/dispatch/advice.go
+++ b/dispatch/advice.go
@@ -14,8 +14,8 @@
 	// adviceWorkers is how many workers one call asks for: the users count on
 	// calls for 30 in a job's time.
 	adviceWorkers = 30
-	// adviceAhead is how long a ticket must still be valid when it is used.
-	adviceAhead = 300 * time.Millisecond
+	// ticketMargin is how long a ticket must still be valid when it is used.
+	ticketMargin = 300 * time.Millisecond
 	// adviceRetry is the pause after a call that failed.
 	adviceRetry = 300 * time.Millisecond
 	// enoughTickets is how many workers with tickets suffice; no more are requested.
@@ -41,7 +41,7 @@
 	tickets map[WorkerID]heldTicket
 	// refused workers may never run the step.
 	refused map[WorkerID]bool
-	asking  bool
+	pending bool
 	retryAt time.Duration
 }
 
@@ -52,26 +52,26 @@
 
 // workersWithTicket returns the workers that have a ticket for a step, and requests more
 // tickets if there are few.
-func (c *Core) advised(s *stepRun, pool []*worker, terms job.AdviceTerms, now Instant) []*worker {
+func (c *Core) workersWithTicket(s *stepRun, pool []*worker, terms job.AdviceTerms, now Instant) []*worker {
 	if s.advice == nil {
 		s.advice = &advice{tickets: map[WorkerID]heldTicket{}, refused: map[WorkerID]bool{}}
 	}
 	var allowed []*worker
 	for _, w := range pool {
-		if s.advice.tickets[w.info.ID].until > now.Steady+adviceAhead {
+		if s.advice.tickets[w.info.ID].until > now.Steady+ticketMargin {
 			allowed = append(allowed, w)
 		}
 	}
 	if len(allowed) < min(s.ready, enoughTickets) {
-		c.askAdvice(s, pool, terms, now)
+		c.requestAdvice(s, pool, terms, now)
 	}
 	return allowed
 }
 
 // requestAdvice requests tickets for those workers that would be chosen first.
-func (c *Core) askAdvice(s *stepRun, pool []*worker, terms job.AdviceTerms, now Instant) {
+func (c *Core) requestAdvice(s *stepRun, pool []*worker, terms job.AdviceTerms, now Instant) {
 	a := s.advice
-	if a.asking || now.Steady < a.retryAt {
+	if a.pending || now.Steady < a.retryAt {
 		return
 	}
 	type rated struct {
@@ -80,7 +80,7 @@
 	}
 	var list []rated
 	for _, w := range pool {
-		if a.refused[w.info.ID] || a.tickets[w.info.ID].until > now.Steady+adviceAhead || !s.allowed(w) || !w.fits(s.amount()) {
+		if a.refused[w.info.ID] || a.tickets[w.info.ID].until > now.Steady+ticketMargin || !s.allowed(w) || !w.fits(s.amount()) {
 			continue
 		}
 		if score, ok := c.score(s, w, false); ok {
@@ -95,12 +95,12 @@
 	for _, r := range list[:min(adviceWorkers, len(list))] {
 		req.Workers = append(req.Workers, r.id)
 	}
-	a.asking = true
+	a.pending = true
 	c.adviceRequests = append(c.adviceRequests, req)
 }
 
 // TakeAdviceRequests returns the requests for advice since the last call.
-func (c *Core) TakeAsks() []AdviceRequest {
+func (c *Core) TakeAdviceRequests() []AdviceRequest {
 	asks := c.adviceRequests
 	c.adviceRequests = nil
 	return asks
@@ -114,7 +114,7 @@
 		return
 	}
 	a := t.step.advice
-	a.asking = false
+	a.pending = false
 	if !ok {
 		a.retryAt = now.Steady + adviceRetry
 		c.trace(Decision{Event: "advice_failed", Job: req.Task.Job, Task: req.Task})
--- a/dispatch/attempts_test.go
+++ b/dispatch/attempts_test.go
@@ -23,7 +23,7 @@
 
 // TestOnlyFailedRunsUseAttempts guards against attempts that are used up by runs that did not
 // fail or by long-running tasks, and against a gang's failure that is counted once for each member.
-func TestWhatUsesAttempts(t *testing.T) {
+func TestOnlyFailedRunsUseAttempts(t *testing.T) {
 	const attempts = 2
 	for name, c := range map[string]struct {
 		kind     EndKind
@@ -62,7 +62,7 @@
 
 // TestGangRestartsIfMembersAreLostWithItsOwner: after a takeover that lost a member of a gang, the
 // other members are stopped, and then all start under one new run.
-func TestGangThatLostMembersWithItsOwnerStartsAnew(t *testing.T) {
+func TestGangRestartsIfMembersAreLostWithItsOwner(t *testing.T) {
 	now := Instant{Steady: time.Second}
 	core := leasedCore(Params{RecoveryWait: 10 * time.Second}, 2, now)
 	core.Recover([]RosterEntry{{ID: "w0", Address: "w0", VM: "m0"}, {ID: "gone", Address: "gone", VM: "m1"}}, now)
@@ -103,7 +103,7 @@
 
 // TestGangWaitsWhileAMemberMayRun: no member starts while one may still run where the previous
 // owner started it.
-func TestGangAwaitsItsLastMember(t *testing.T) {
+func TestGangWaitsWhileAMemberMayRun(t *testing.T) {
 	now := Instant{Steady: time.Second}
 	core := leasedCore(Params{RecoveryWait: 10 * time.Second}, 2, now)
 	spec := simpleJob(1, 3)
@@ -126,7 +126,7 @@
 }
 
 // TestGangFailureUsesOneAttempt: a run in which one member fails uses one attempt, whichever it was.
-func TestGangFailsAsOne(t *testing.T) {
+func TestGangFailureUsesOneAttempt(t *testing.T) {
 	core, now := idleCore(t, 1)
 	core.SetConfig(&job.Config{Version: 2, Queues: []job.Queue{{Name: "q", Service: "svc", MaxAttempts: 2, Stretch: 2}}})
 	spec := simpleJob(1, 2)
--- a/dispatch/away_test.go
+++ b/dispatch/away_test.go
@@ -9,7 +9,7 @@
 
 // TestTasksAtSilentWorkersCountAsUnavailable: a long-running task whose worker has not answered for
 // long may have ended, so no other of its step is moved beyond the step's MaxAway.
-func TestTasksAtSilentWorkersCountAsAway(t *testing.T) {
+func TestTasksAtSilentWorkersCountAsUnavailable(t *testing.T) {
 	core, now := idleCore(t, 3)
 	spec := simpleJob(1, 2)
 	spec.Steps[0].Lasting, spec.Steps[0].MaxPerWorker, spec.Steps[0].MaxAway = true, 1, 1
@@ -25,20 +25,20 @@
 		core.PollDone(core.PlanPoll(o.Worker, now).Order, reply, OutcomeOK, now)
 	}
 	available, silent := core.findTask(list[0].Task), list[1].Worker
-	if !available.mayLeave() {
+	if !available.mayStop() {
 		t.Fatal("a task may not be stopped while the other is available")
 	}
 	for range unreachedAfter {
 		now.Steady += 500 * time.Millisecond
 		core.PollDone(core.PlanPoll(silent, now).Order, PollReply{}, OutcomeUnknown, now)
 	}
-	if available.mayLeave() {
+	if available.mayStop() {
 		t.Error("a task may be stopped while the other's worker is silent")
 	}
 }
 
 // TestStartingTasksCountAsUnavailable: a long-running task is available only once it is past its start.
-func TestTasksThatStartCountAsAway(t *testing.T) {
+func TestStartingTasksCountAsUnavailable(t *testing.T) {
 	core, now := idleCore(t, 1)
 	spec := simpleJob(1, 2)
 	spec.Steps[0].Lasting, spec.Steps[0].MaxAway = true, 1
@@ -51,7 +51,7 @@
 			reply.Running = append(reply.Running, RunningTask{Task: s.id(), Run: s.attempt.run, Percent: percent})
 		}
 		core.PollDone(core.PlanPoll("w0", now).Order, reply, OutcomeOK, now)
-		if got := core.findTask(reply.Running[0].Task).mayLeave(); got != want {
+		if got := core.findTask(reply.Running[0].Task).mayStop(); got != want {
 			t.Errorf("a task may be stopped while the other is at %d%%: %v, want %v", percent, got, want)
 		}
 	}
@@ -59,7 +59,7 @@
 
 // TestOnlyCheckpointedFillsArePreempted: neither long-running tasks nor short ones, nor fill tasks
 // that would lose their work, are stopped for more urgent tasks.
-func TestOnlyFillsThatSaveMakeRoom(t *testing.T) {
+func TestOnlyCheckpointedFillsArePreempted(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(s *job.Step)
 		stops  int
--- a/dispatch/calm.go
+++ b/dispatch/calm.go
@@ -47,7 +47,7 @@
 // been detected.
 func (c *Core) scheduleComparison(t *task, vm string, l lostIncarnation, r LostRun) {
 	x := crashComparison{task: t, run: r.Run, trial: r.Trial, vm: vm, at: l.loss.since, due: l.loss.since + detectionDelay}
-	t.comparedAt = max(t.comparedAt, x.due)
+	t.crashComparedAt = max(t.crashComparedAt, x.due)
 	c.comparisons = append(c.comparisons, x)
 }
 
@@ -84,7 +84,7 @@
 	if !isolated || !j.progress.CrashAlone(t.id(), x.run) {
 		return
 	}
-	c.touch(j)
+	c.markChanged(j)
 	c.giveUpIfCrasher(t, x.trial && lowRate, now)
 }
 
--- a/dispatch/cancel_test.go
+++ b/dispatch/cancel_test.go
@@ -22,7 +22,7 @@
 
 // TestCancelledJobStopsForGood: however its runs end after the cancellation is received, running
 // tasks are stopped until they have ended, and none starts again.
-func TestCancelledJobStopsAndStaysStopped(t *testing.T) {
+func TestCancelledJobStopsForGood(t *testing.T) {
 	for _, kind := range []EndKind{EndStopped, EndFailed, EndDone, EndLapsed} {
 		for name, change := range map[string]func(s *job.Step){
 			"plain": func(*job.Step) {}, "lasting": func(s *job.Step) { s.Lasting = true }, "gang": func(s *job.Step) { s.Gang = true },
--- a/dispatch/checkpoint.go
+++ b/dispatch/checkpoint.go
@@ -14,7 +14,7 @@
 }
 
 // maxLoggedCheckpointBytes bounds the bytes of a checkpoint in a log line.
-const mostCheckpointLogged = 64
+const maxLoggedCheckpointBytes = 64
 
 // String describes the checkpoint and its origin, for the log.
 func (c checkpoint) String() string {
@@ -22,8 +22,8 @@
 		return ""
 	}
 	text := c.text
-	if len(text) > mostCheckpointLogged {
-		text = text[:mostCheckpointLogged]
+	if len(text) > maxLoggedCheckpointBytes {
+		text = text[:maxLoggedCheckpointBytes]
 	}
 	from := fmt.Sprintf("list of clock %d", c.clock)
 	if c.end > 0 {
@@ -41,8 +41,8 @@
 // recordCheckpoint records a checkpoint that a worker reported for a task. If the checkpoint
 // does not count, it returns why. An older run's does not replace that of a newer one, since
 // ends may be reported late and in any order.
-func (c *Core) noteCheckpoint(t *task, w *worker, reported checkpoint) (ignored string) {
-	kept := t.keptCheckpoint()
+func (c *Core) recordCheckpoint(t *task, w *worker, reported checkpoint) (ignored string) {
+	kept := t.checkpointSlot()
 	switch {
 	case !t.step.spec.Checkpoints:
 		return "its step has no checkpoints"
@@ -56,7 +56,7 @@
 }
 
 // addStart records a run that this owner ordered, or adopted from an earlier one.
-func (t *task) noteStarted(run uint64, w *worker) {
+func (t *task) addStart(run uint64, w *worker) {
 	t.previousStart, t.lastStart = t.lastStart, startedRun{run, w.info.ID}
 }
 
@@ -81,7 +81,7 @@
 
 // checkpointSlot returns where the task's checkpoint is stored. That of any member is valid
 // for its gang, and all members must start with the same one.
-func (t *task) keptCheckpoint() *checkpoint {
+func (t *task) checkpointSlot() *checkpoint {
 	if t.step.spec.Gang {
 		return &t.step.checkpoint
 	}
@@ -89,4 +89,4 @@
 }
 
 // continuesFrom returns the checkpoint that the task's next start carries.
-func (t *task) continuesFrom() checkpoint { return *t.keptCheckpoint() }
+func (t *task) continuesFrom() checkpoint { return *t.checkpointSlot() }
--- a/dispatch/checkpoint_rapid_test.go
+++ b/dispatch/checkpoint_rapid_test.go
@@ -19,13 +19,13 @@
 	// unread holds the incarnations whose lists were not read yet.
 	unread map[WorkerID]bool
 	// workers are the current incarnations; the field incarnations counts all that there were.
-	workers []WorkerID
-	lives   int
-	clock   int64
-	ends    map[WorkerID]uint64
+	workers      []WorkerID
+	incarnations int
+	clock        int64
+	ends         map[WorkerID]uint64
 	// newest is the highest run that reported a text of a task or gang, reported its last text.
-	newest map[job.TaskID]uint64
-	told   map[job.TaskID]string
+	newest   map[job.TaskID]uint64
+	reported map[job.TaskID]string
 	// started holds the runs of each task that the core ordered, in their order.
 	started map[job.TaskID][]startedRun
 	// sent holds replies that may be repeated.
@@ -38,7 +38,7 @@
 }
 
 // checkpointTask returns the task that represents all that share a checkpoint.
-func (m *checkpointModel) of(id job.TaskID) job.TaskID {
+func (m *checkpointModel) checkpointTask(id job.TaskID) job.TaskID {
 	if m.spec.Steps[id.Step].Gang {
 		id.Index = 0
 	}
@@ -73,15 +73,15 @@
 }
 
 // record records a text as reported by a run of the task, unless it does not count.
-func (m *checkpointModel) tell(id job.TaskID, run uint64, worker WorkerID, text string) {
+func (m *checkpointModel) record(id job.TaskID, run uint64, worker WorkerID, text string) {
 	if text == "" || !m.spec.Steps[id.Step].Checkpoints || !m.counts(id, run, worker) {
 		return
 	}
-	id = m.of(id)
+	id = m.checkpointTask(id)
 	if run < m.newest[id] {
 		return
 	}
-	m.newest[id], m.told[id] = run, text
+	m.newest[id], m.reported[id] = run, text
 }
 
 func (m *checkpointModel) answer(worker WorkerID, reply PollReply) {
@@ -100,7 +100,7 @@
 		Number: m.ends[worker], Task: id, Run: run, Checkpoint: text,
 		Kind: rapid.SampledFrom([]EndKind{EndStopped, EndLapsed, EndFailed, EndBroken}).Draw(t, "kind"),
 	}}}
-	m.tell(id, run, worker, text)
+	m.record(id, run, worker, text)
 	m.send(worker, reply)
 }
 
@@ -114,7 +114,7 @@
 	text := m.drawText(t, id, run)
 	m.clock++
 	rows := append(m.running(worker, id), RunningTask{Task: id, Run: run, Checkpoint: text})
-	m.tell(id, run, worker, text)
+	m.record(id, run, worker, text)
 	m.send(worker, PollReply{ClockMS: m.clock, Running: rows})
 }
 
@@ -122,7 +122,7 @@
 	if rapid.IntRange(0, 3).Draw(t, "saved") == 0 {
 		return ""
 	}
-	return fmt.Sprintf("%s/%d/%d", m.of(id), run, rapid.IntRange(0, 9).Draw(t, "work"))
+	return fmt.Sprintf("%s/%d/%d", m.checkpointTask(id), run, rapid.IntRange(0, 9).Draw(t, "work"))
 }
 
 // running returns the rows of what a worker runs, except one task.
@@ -150,9 +150,9 @@
 }
 
 // addIncarnation lists a new incarnation of a worker, which answers.
-func (m *checkpointModel) begin(i int) {
-	m.lives++
-	id := WorkerID(fmt.Sprintf("w%d-%d", i, m.lives))
+func (m *checkpointModel) addIncarnation(i int) {
+	m.incarnations++
+	id := WorkerID(fmt.Sprintf("w%d-%d", i, m.incarnations))
 	m.workers[i] = id
 	var list []WorkerInfo
 	for i, id := range m.workers {
@@ -173,12 +173,12 @@
 // restart ends a worker's incarnation and adds the next one.
 func (m *checkpointModel) restart(t *rapid.T) {
 	const mostLives = 5 // tasks that meet more crashes are given up
-	if m.lives == mostLives {
+	if m.incarnations == mostLives {
 		return
 	}
 	i := rapid.IntRange(0, len(m.workers)-1).Draw(t, "restarted")
 	m.core.PollDone(PollRequest{Worker: m.workers[i]}, PollReply{}, OutcomeOtherIncarnation, m.now)
-	m.begin(i)
+	m.addIncarnation(i)
 }
 
 // schedule starts what is ready.
@@ -201,14 +201,14 @@
 }
 
 func (m *checkpointModel) checkText(t *rapid.T, id job.TaskID, text string) {
-	if reported := m.told[m.of(id)]; text != reported {
-		t.Fatalf("task %s starts with checkpoint %q; its newest run %d reported %q", id, text, m.newest[m.of(id)], reported)
+	if reported := m.reported[m.checkpointTask(id)]; text != reported {
+		t.Fatalf("task %s starts with checkpoint %q; its newest run %d reported %q", id, text, m.newest[m.checkpointTask(id)], reported)
 	}
 }
 
 // TestCheckpointIsOfNewestRun: whatever lists and ends are reported, in any order and repeatedly, a
 // task starts with the last text of the newest run, of it or its gang, that reported one.
-func TestCheckpointsAreOfTheNewestRun(t *testing.T) {
+func TestCheckpointIsOfNewestRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newCheckpointModel()
 		t.Repeat(map[string]func(*rapid.T){
@@ -220,10 +220,10 @@
 func newCheckpointModel() *checkpointModel {
 	const term = 4
 	now := Instant{Steady: time.Minute, UnixMS: 1_000_000}
-	m := &checkpointModel{core: leasedCore(Params{}, term, now), now: now, clock: 1, ends: map[WorkerID]uint64{}, newest: map[job.TaskID]uint64{}, told: map[job.TaskID]string{}, unread: map[WorkerID]bool{}, started: map[job.TaskID][]startedRun{}}
+	m := &checkpointModel{core: leasedCore(Params{}, term, now), now: now, clock: 1, ends: map[WorkerID]uint64{}, newest: map[job.TaskID]uint64{}, reported: map[job.TaskID]string{}, unread: map[WorkerID]bool{}, started: map[job.TaskID][]startedRun{}}
 	for range 3 {
 		m.workers = append(m.workers, "")
-		m.begin(len(m.workers) - 1)
+		m.addIncarnation(len(m.workers) - 1)
 	}
 	m.spec = simpleJob(1, 2, 3, 2)
 	m.spec.Occurrences, m.spec.IntervalMS = 2, 1
--- a/dispatch/checkpoint_test.go
+++ b/dispatch/checkpoint_test.go
@@ -69,14 +69,14 @@
 }
 
 // markUnread marks the lists of all workers as not read by this owner.
-func (x *checkpointCore) unread() {
+func (x *checkpointCore) markUnread() {
 	for _, w := range x.core.workers {
 		w.synced = false
 	}
 }
 
 // wantCheckpoint fails the test unless a task has started again after before, with a text.
-func (x *checkpointCore) brings(index int, before Order, want string) {
+func (x *checkpointCore) wantCheckpoint(index int, before Order, want string) {
 	x.Helper()
 	switch o := x.order(index); {
 	case o.Run <= before.Run:
@@ -87,18 +87,18 @@
 }
 
 // A checkpoint that a worker reports for a task of a step without checkpoints must not be used.
-func TestStepsWithoutCheckpointsBringNone(t *testing.T) {
+func TestStepsWithoutCheckpointsStartWithNone(t *testing.T) {
 	x := newCheckpointCore(t, 1, func(s *job.Step) { s.Checkpoints = false })
 	first := x.order(0)
 	x.list(first.Worker, []RunningTask{rowOf(first, "listed")})
 	x.list(first.Worker, nil, endOf(first, EndFailed, "ended"))
 	x.schedule()
-	x.brings(0, first, "")
+	x.wantCheckpoint(0, first, "")
 }
 
 // A checkpoint in the end of a run that the owner has not ordered at that worker must not be used
 // by the task's next start.
-func TestCheckpointsOfUnknownRunsAreNotBrought(t *testing.T) {
+func TestCheckpointsOfUnknownRunsAreIgnored(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(unknown *Order)
@@ -115,18 +115,18 @@
 			c.change(&unknown)
 			x.list(unknown.Worker, nil, endOf(unknown, EndLapsed, "unknown"))
 			x.schedule()
-			x.brings(0, first, "own")
+			x.wantCheckpoint(0, first, "own")
 		})
 	}
 }
 
 // The end of an older run that a worker reports after those of newer runs must not replace their
 // checkpoint: the task would repeat work.
-func TestNewerRunsCheckpointStays(t *testing.T) {
+func TestOlderRunDoesNotReplaceCheckpoint(t *testing.T) {
 	core, now := idleCore(t, 2)
 	x := &checkpointCore{T: t, core: core, now: now, clock: 1000, ends: map[WorkerID]uint64{}, orders: map[job.TaskID]Order{}}
 	core.term = 3
-	x.unread()
+	x.markUnread()
 	spec := simpleJob(1, 1)
 	spec.Steps[0].Checkpoints = true
 	core.AddJob(spec, nil, false, now)
@@ -134,16 +134,16 @@
 	x.list("w0", nil, endOf(of(2), EndLapsed, "newer"))
 	x.list("w1", nil, endOf(of(1), EndLapsed, "older"))
 	x.schedule()
-	x.brings(0, of(2), "newer")
+	x.wantCheckpoint(0, of(2), "newer")
 }
 
 // The end of a member of a gang's earlier run, reported after the next run has ended, must not
 // replace the later run's checkpoint.
-func TestNewerGangRunsCheckpointStays(t *testing.T) {
+func TestOlderGangRunDoesNotReplaceCheckpoint(t *testing.T) {
 	core, now := idleCore(t, 2)
 	x := &checkpointCore{T: t, core: core, now: now, clock: 1000, ends: map[WorkerID]uint64{}, orders: map[job.TaskID]Order{}}
 	core.term = 3
-	x.unread()
+	x.markUnread()
 	spec := simpleJob(1, 2)
 	spec.Steps[0].Checkpoints, spec.Steps[0].Gang = true, true
 	core.AddJob(spec, nil, false, now)
@@ -153,31 +153,31 @@
 	x.list("w0", nil, endOf(of(0, 2), EndLapsed, "newer"))
 	x.list("w1", nil, endOf(of(1, 1), EndLapsed, "older"))
 	x.schedule()
-	x.brings(0, of(0, 2), "newer")
-	x.brings(1, of(1, 2), "newer")
+	x.wantCheckpoint(0, of(0, 2), "newer")
+	x.wantCheckpoint(1, of(1, 2), "newer")
 }
 
 // Two tasks may report the same text, since some texts hold only the amount of work done: each
 // continues from its own checkpoint, and a later one of either does not affect the other.
-func TestEqualTextsOfTwoTasksAreKeptApart(t *testing.T) {
+func TestEqualCheckpointsOfTwoTasksAreSeparate(t *testing.T) {
 	x := newCheckpointCore(t, 2, nil)
 	first, second := x.order(0), x.order(1)
 	x.list(first.Worker, nil, endOf(first, EndFailed, "text"))
 	x.list(second.Worker, nil, endOf(second, EndFailed, "text"))
 	x.schedule()
-	x.brings(0, first, "text")
-	x.brings(1, second, "text")
+	x.wantCheckpoint(0, first, "text")
+	x.wantCheckpoint(1, second, "text")
 	first, second = x.order(0), x.order(1)
 	x.list(first.Worker, nil, endOf(first, EndFailed, "later"))
 	x.list(second.Worker, nil, endOf(second, EndFailed, ""))
 	x.schedule()
-	x.brings(0, first, "later")
-	x.brings(1, second, "text")
+	x.wantCheckpoint(0, first, "later")
+	x.wantCheckpoint(1, second, "text")
 }
 
 // An earlier term's run counts only when a worker's lists are first read. Otherwise a job that was
 // added as new would start with the checkpoint of a run that it can't have had.
-func TestEarlierTermsCountAtTheFirstReadingOnly(t *testing.T) {
+func TestEarlierTermsCountAtFirstReadOnly(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		run    uint64
@@ -203,14 +203,14 @@
 			x.list(other, nil, EndedTask{Task: first.Task, Run: c.run, Kind: EndLapsed, Checkpoint: "earlier"})
 			x.list(first.Worker, nil, endOf(first, EndFailed, ""))
 			x.schedule()
-			x.brings(0, first, c.want)
+			x.wantCheckpoint(0, first, c.want)
 		})
 	}
 }
 
 // A worker is cut off until its leases expire, and the next start elsewhere is refused. The
 // lapsed run's end, which comes only then, has more work, which must not be done again.
-func TestLapsedRunsCheckpointCountsAfterARefusal(t *testing.T) {
+func TestLapsedRunsCheckpointCountsAfterRefusedStart(t *testing.T) {
 	x := newCheckpointCore(t, 1, nil)
 	first := x.order(0)
 	x.list(first.Worker, []RunningTask{rowOf(first, "at 1 s")})
@@ -224,7 +224,7 @@
 	x.list(first.Worker, nil, endOf(first, EndLapsed, "at 5 s"))
 	x.now.Steady += time.Second
 	x.schedule()
-	x.brings(0, second, "at 5 s")
+	x.wantCheckpoint(0, second, "at 5 s")
 }
 
 // A run that counted as lost is listed again by its worker, whose lists count as unread, and is
@@ -245,5 +245,5 @@
 	x.list(first.Worker, nil, endOf(first, EndFailed, "d"))
 	x.now.Steady += time.Second
 	x.schedule()
-	x.brings(0, second, "d")
+	x.wantCheckpoint(0, second, "d")
 }
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -147,7 +147,7 @@
 	// dirty holds the jobs whose progress is not stored, with their turn to be written.
 	dirty             map[*jobState]uint64
 	waves             map[int64]*waveState
-	maintenanceOrders []UpkeepOrder // not taken yet
+	maintenanceOrders []MaintenanceOrder // not taken yet
 	turn              uint64
 	out               []Order
 	trace             func(Decision)
@@ -298,7 +298,7 @@
 	}
 	c.updateClosed()
 	c.moveOffLeaving(now)
-	c.tickUpkeep(now)
+	c.tickMaintenance(now)
 	c.dropOldJobs(now)
 	c.rateFillAcceptance()
 	c.tickReserved(now)
--- a/dispatch/core_test.go
+++ b/dispatch/core_test.go
@@ -244,7 +244,7 @@
 	written := map[string]bool{}
 	for range 3 * jobs / limit {
 		for _, j := range core.jobs {
-			core.touch(j) // all change faster than they are written
+			core.markChanged(j) // all change faster than they are written
 		}
 		records, err := core.Records(limit)
 		if err != nil {
@@ -254,7 +254,7 @@
 			written[r.Job] = true
 		}
 		for _, j := range core.jobs {
-			core.touch(j)
+			core.markChanged(j)
 		}
 		core.Persisted(records)
 	}
--- a/dispatch/dropped.go
+++ b/dispatch/dropped.go
@@ -20,7 +20,7 @@
 	removed []removedJobs
 	// again holds jobs that were received under known ids, until it is known whether
 	// their records were written after the removal.
-	again map[string]recordedJob
+	resubmitted map[string]recordedJob
 }
 
 // recordedJob is a job whose record was written at a revision of the store.
@@ -61,10 +61,10 @@
 	}
 }
 
-// cancelKept is how long the cancellation of a job that has not been received is kept. A
+// cancelRetention is how long the cancellation of a job that has not been received is kept. A
 // write to the store is carried out up to 12 s late, and is received within some seconds
 // once the store is reached.
-const cancelKept = time.Minute
+const cancelRetention = time.Minute
 
 // OldCancels returns at most limit jobs that were cancelled long ago and never received:
 // the records of their cancellation can be removed, if they still have not come. They are
@@ -72,7 +72,7 @@
 func (c *Core) OldCancels(limit int, now Instant) []string {
 	var ids []string
 	for id, receivedAt := range c.cancelled {
-		if now.Steady-receivedAt > cancelKept {
+		if now.Steady-receivedAt > cancelRetention {
 			ids = append(ids, id)
 		}
 	}
@@ -95,13 +95,13 @@
 
 // RecordsRemoved records that the store no longer holds the first n of Expired, from a
 // revision on.
-func (c *Core) Removed(n int, revision int64) {
+func (c *Core) RecordsRemoved(n int, revision int64) {
 	d := &c.dropped
 	ids := d.expired[:n]
 	d.removed = append(d.removed, removedJobs{ids, revision})
 	d.expired = d.expired[n:]
 	for _, id := range ids {
-		c.releaseID(id, revision)
+		c.queueResubmitted(id, revision)
 	}
 }
 
@@ -114,23 +114,23 @@
 		c.AddJob(spec, nil, false, now)
 		return
 	}
-	if d.again == nil {
-		d.again = map[string]recordedJob{}
+	if d.resubmitted == nil {
+		d.resubmitted = map[string]recordedJob{}
 	}
-	if revision >= d.again[spec.ID].revision { // a hint has no revision
-		d.again[spec.ID] = recordedJob{deferredJob{spec, now.Steady - ageAtIntake(spec, false, now)}, revision}
+	if revision >= d.resubmitted[spec.ID].revision { // a hint has no revision
+		d.resubmitted[spec.ID] = recordedJob{deferredJob{spec, now.Steady - ageAtIntake(spec, false, now)}, revision}
 	}
 	for _, r := range d.removed {
 		if slices.Contains(r.ids, spec.ID) {
-			c.releaseID(spec.ID, r.revision)
+			c.queueResubmitted(spec.ID, r.revision)
 		}
 	}
 }
 
 // queueResubmitted queues the job that was recorded under a dropped id after the removal
 // of that id's records, if there is one.
-func (c *Core) releaseID(id string, removed int64) {
-	if next, ok := c.dropped.again[id]; ok && next.revision > removed {
+func (c *Core) queueResubmitted(id string, removed int64) {
+	if next, ok := c.dropped.resubmitted[id]; ok && next.revision > removed {
 		c.dropped.forget(id)
 		c.deferred = append(c.deferred, next.deferredJob) // the next tick adds it
 	}
@@ -138,12 +138,12 @@
 
 func (d *droppedJobs) forget(id string) {
 	delete(d.known, id)
-	delete(d.again, id)
+	delete(d.resubmitted, id)
 }
 
 // IntakeProcessed records that all updates of jobs up to a revision of the store have
 // been processed.
-func (c *Core) IntakeTaken(revision int64) {
+func (c *Core) IntakeProcessed(revision int64) {
 	d := &c.dropped
 	for len(d.removed) > 0 && d.removed[0].revision <= revision {
 		for _, id := range d.removed[0].ids {
--- a/dispatch/dropped_test.go
+++ b/dispatch/dropped_test.go
@@ -8,7 +8,7 @@
 // TestDroppedJobsAreNotAddedAgain: a dropped job that is received again is not added as new until
 // all updates up to the removal of its records have been processed; after that, nothing about it
 // is kept.
-func TestDroppedJobsStayKnown(t *testing.T) {
+func TestDroppedJobsAreNotAddedAgain(t *testing.T) {
 	c := New(Params{JobKept: time.Second, OwnerTTL: time.Hour, OwnerHorizon: time.Hour, MaxTaskLease: 6 * time.Second}, 1, nil)
 	c.Renewed(0)
 	for i := 1; i <= 3; i++ {
@@ -35,16 +35,16 @@
 		}
 	}
 	submit(0, "while their records are in the store")
-	c.Removed(2, 70)
+	c.RecordsRemoved(2, 70)
 	submit(0, "after a removal")
-	c.IntakeTaken(69)
+	c.IntakeProcessed(69)
 	submit(0, "before its updates")
-	c.IntakeTaken(70)
+	c.IntakeProcessed(70)
 	if len(c.dropped.known) != 1 || len(c.dropped.removed) != 0 {
 		t.Errorf("kept: %+v", c.dropped)
 	}
-	c.Removed(1, 71)
-	c.IntakeTaken(90)
+	c.RecordsRemoved(1, 71)
+	c.IntakeProcessed(90)
 	if len(c.dropped.known) != 0 || len(c.Expired(10)) != 0 {
 		t.Errorf("kept at the end: %+v", c.dropped)
 	}
@@ -52,13 +52,13 @@
 
 // TestCancelsOfUnknownJobsExpire: the cancellation of a job that has not come is kept for as long
 // as its submission may be in progress; a job that comes by then is cancelled, a later one is not.
-func TestCancelsOfNoJob(t *testing.T) {
+func TestCancelsOfUnknownJobsExpire(t *testing.T) {
 	now := Instant{Steady: time.Second}
 	core := leasedCore(Params{JobKept: time.Hour}, 1, now)
 	early, late := simpleJob(1, 1), simpleJob(2, 1)
 	core.Cancel(early.ID, now)
 	core.Cancel(late.ID, now)
-	now.Steady += cancelKept
+	now.Steady += cancelRetention
 	core.Cancel(late.ID, now) // received again
 	if ids := core.OldCancels(8, now); len(ids) > 0 {
 		t.Fatalf("%v can be removed", ids)
--- a/dispatch/ends.go
+++ b/dispatch/ends.go
@@ -21,7 +21,7 @@
 )
 
 // processEnd applies the end of a run that a worker lists.
-func (c *Core) takeEnd(w *worker, e *EndedTask, now Instant) {
+func (c *Core) processEnd(w *worker, e *EndedTask, now Instant) {
 	t := c.findTask(e.Task)
 	if t == nil {
 		c.ignoreEnd(w, e, "the job has ended or is unknown")
@@ -32,25 +32,25 @@
 		return
 	}
 	a := t.attemptAt(w, e.Run)
-	c.noteEndCheckpoint(t, w, e)
+	c.recordEndCheckpoint(t, w, e)
 	c.logTask("run_"+string(e.Kind), t, w, e.Run, "")
-	c.markBegun(t.step.job)
-	c.countEnd(w, t, a, e, now)
+	c.markStarted(t.step.job)
+	c.applyEnd(w, t, a, e, now)
 	if a != nil {
 		c.release(a, now)
 	}
-	c.keepEnd(w, pendingEnd{number: e.Number, task: e.Task, job: t.step.job, version: t.step.job.version})
+	c.deferEndAck(w, pendingEnd{number: e.Number, task: e.Task, job: t.step.job, version: t.step.job.version})
 }
 
 // ignoreEnd lets a worker forget an end that does not concern a task.
 func (c *Core) ignoreEnd(w *worker, e *EndedTask, reason string) {
-	c.keepEnd(w, pendingEnd{number: e.Number, task: e.Task})
+	c.deferEndAck(w, pendingEnd{number: e.Number, task: e.Task})
 	c.trace(Decision{Event: "end_ignored", Job: e.Task.Job, Task: e.Task, Run: e.Run, Worker: w.info.ID, Reason: reason})
 }
 
 // deferEndAck keeps an end that is acknowledged to the worker, which may then forget it,
 // once its effect is stored.
-func (c *Core) keepEnd(w *worker, e pendingEnd) {
+func (c *Core) deferEndAck(w *worker, e pendingEnd) {
 	w.ends = append(w.ends, e)
 	c.unstoredEnds[w] = true
 }
@@ -64,12 +64,12 @@
 
 // recordEndCheckpoint records the checkpoint that comes with an end, also if the run is
 // older than the expected one.
-func (c *Core) noteEndCheckpoint(t *task, w *worker, e *EndedTask) {
+func (c *Core) recordEndCheckpoint(t *task, w *worker, e *EndedTask) {
 	if e.Checkpoint == "" {
 		return
 	}
 	reported := checkpoint{text: e.Checkpoint, run: e.Run, worker: w.info.ID, end: e.Number}
-	if ignored := c.noteCheckpoint(t, w, reported); ignored != "" {
+	if ignored := c.recordCheckpoint(t, w, reported); ignored != "" {
 		d := taskDecision("checkpoint_ignored", t, w, e.Run, ignored)
 		d.Detail = reported.String()
 		c.trace(d)
@@ -77,7 +77,7 @@
 }
 
 // applyEnd updates the task, the worker and the statistics by the kind of an end.
-func (c *Core) countEnd(w *worker, t *task, a *attempt, e *EndedTask, now Instant) {
+func (c *Core) applyEnd(w *worker, t *task, a *attempt, e *EndedTask, now Instant) {
 	switch e.Kind {
 	case EndDone:
 		c.stats.Done++
@@ -87,12 +87,12 @@
 			c.learnRunTime(a, now)
 		}
 		if !t.step.spec.Lasting {
-			c.endedDone(t, a, now)
+			c.finishTask(t, a, now)
 		}
 	case EndFailed:
 		c.stats.Failed++
 		c.clearSuspicion(t, e.Run, "its worker has outlived a run of it")
-		c.blameWorker(w, t, now)
+		c.countWorkerFailure(w, t, now)
 		c.countFailure(t, e.Run, now)
 		t.avoid = w.info.ID
 		t.notBefore = now.Steady + retryDelay
@@ -104,7 +104,7 @@
 }
 
 // finishTask marks the task as done and stops a later run of it elsewhere.
-func (c *Core) endedDone(t *task, a *attempt, now Instant) {
+func (c *Core) finishTask(t *task, a *attempt, now Instant) {
 	other := t.attempt
 	c.taskDone(t, now)
 	if other != nil && other != a {
@@ -128,7 +128,7 @@
 		return
 	}
 	s.tasks[id.Index].failedInTerm = true
-	c.touch(j)
+	c.markChanged(j)
 	limit := c.queues[j.spec.Queue].MaxAttempts
 	if limit > 0 && j.progress.FailureCount(id) >= limit {
 		c.setFinal(j, job.Failed, "task "+id.String()+" has no attempts left", now)
@@ -137,7 +137,7 @@
 
 // countWorkerFailure counts failures in a row at a worker. Failures of gangs and repeated
 // failures of one task are no evidence against the worker.
-func (c *Core) blameWorker(w *worker, t *task, now Instant) {
+func (c *Core) countWorkerFailure(w *worker, t *task, now Instant) {
 	if t.step.spec.Gang || t.avoid == w.info.ID {
 		return
 	}
--- a/dispatch/evacuation_test.go
+++ b/dispatch/evacuation_test.go
@@ -37,7 +37,7 @@
 
 // Every kind of task starts in the other data centre only; none starts once all are evacuated,
 // the reason is explained, and tasks start again once an evacuation is revoked.
-func TestEvacuationHoldsForEveryKindOfTask(t *testing.T) {
+func TestEvacuationAppliesToEveryKindOfTask(t *testing.T) {
 	for name, change := range map[string]func(*job.Spec){
 		"plain":    func(*job.Spec) {},
 		"gang":     func(s *job.Spec) { s.Steps[0].Gang = true },
--- a/dispatch/explain.go
+++ b/dispatch/explain.go
@@ -52,7 +52,7 @@
 func (c *Core) explainTask(t *task, room string, now Instant) TaskInfo {
 	info := TaskInfo{Task: t.id().String(), Phase: t.phase.String(), Crashes: t.suspectedCrashes()}
 	if a := t.attempt; a != nil {
-		info.Worker, info.Run, info.Pace = WorkerID(a.worker.info.ID.Name()), a.run, a.percent
+		info.Worker, info.Run, info.Pace = WorkerID(a.worker.info.ID.Name()), a.run, a.wantedPace
 		return info
 	}
 	switch t.phase {
--- a/dispatch/gang.go
+++ b/dispatch/gang.go
@@ -3,11 +3,11 @@
 // placeGang starts all tasks of a gang at once, or none. A suspect gang is one with
 // members that may have crashed their workers; it is started apart from other suspects.
 func (c *Core) placeGang(s *stepRun, p *pool, now Instant) {
-	if s.ready < s.left || s.gangRun != 0 {
+	if s.ready < s.remaining || s.gangRun != 0 {
 		return
 	}
 	for _, t := range s.tasks {
-		if t.phase == phaseReady && (now.Steady < t.notBefore || t.concluded && !c.holdsLease(now)) {
+		if t.phase == phaseReady && (now.Steady < t.notBefore || t.endUnknown && !c.holdsLease(now)) {
 			return
 		}
 	}
--- a/dispatch/interference.go
+++ b/dispatch/interference.go
@@ -231,7 +231,7 @@
 // demand returns the processor time that a fill uses at its full pace, or requests
 // while there is no reading.
 func (a *attempt) demand() float64 {
-	if a.hasUse {
+	if a.hasFullCPU {
 		return a.fullCPU
 	}
 	return float64(a.task.step.spec.CPUMilli)
@@ -240,8 +240,8 @@
 // cpu returns the processor time that a fill uses at its present pace (its CPU share
 // limit); an unknown pace counts as the full one.
 func (a *attempt) cpu() float64 {
-	if a.paced == paceUnknown {
+	if a.ackedPace == paceUnknown {
 		return a.demand()
 	}
-	return a.demand() * float64(a.paced) / fullPace
+	return a.demand() * float64(a.ackedPace) / fullPace
 }
--- a/dispatch/jobs.go
+++ b/dispatch/jobs.go
@@ -16,7 +16,7 @@
 	// store has. A state is shown, and an end acknowledged, once persisted.
 	version, persisted uint64
 	shown              job.State
-	begun              bool // a worker has started one of its tasks
+	started            bool // a worker has started one of its tasks
 	// cancelled is set by the customer; nothing of the job starts any more.
 	cancelled bool
 	// active is the number of attempts that may be running.
@@ -31,31 +31,31 @@
 
 // stepRun is one step of one occurrence of a job.
 type stepRun struct {
-	job        *jobState
-	spec       *job.Step
-	occurrence int
-	index      int
-	tasks      []*task
-	left       int // tasks that are not done
-	after      int // steps of the occurrence that must be done first
+	job                 *jobState
+	spec                *job.Step
+	occurrence          int
+	index               int
+	tasks               []*task
+	remaining           int // tasks that are not done
+	pendingPredecessors int // steps of the occurrence that must be done first
 	// ready is the number of tasks in phaseReady; queued is set while the
 	// step is in Core.open.
 	ready  int
 	queued bool
 	// gangRun is the run number of the gang that is active, 0 for none.
-	gangRun     uint64
-	perWork     map[*worker]int // attempts by worker, only with MaxPerWorker
-	checkpoint  checkpoint      // of a gang
-	advice      *advice         // of the placement policy, if the queue has one
-	toldWaiting time.Duration   // when it was last logged that the step waits
-	measured    int             // samples of its tasks' run time; see progressTracker
-	fastest     time.Duration   // the shortest run time measured
-	suspects    int             // tasks with crashes
-	apartRetry  time.Duration   // when its suspects are tried again
-	preempted   time.Duration   // when tasks were last preempted for it
-	basis       rankBasis
-	// preemptTried is when tasks to preempt for it were last searched.
-	preemptTried time.Duration
+	gangRun         uint64
+	perWork         map[*worker]int // attempts by worker, only with MaxPerWorker
+	checkpoint      checkpoint      // of a gang
+	advice          *advice         // of the placement policy, if the queue has one
+	waitLoggedAt    time.Duration   // when it was last logged that the step waits
+	runTimeSamples  int             // samples of its tasks' run time; see progressTracker
+	shortestRunTime time.Duration   // the shortest run time measured
+	suspects        int             // tasks with crashes
+	apartRetry      time.Duration   // when its suspects are tried again
+	preemptedAt     time.Duration   // when tasks were last preempted for it
+	basis           rankBasis
+	// preemptCheckedAt is when tasks to preempt for it were last searched.
+	preemptCheckedAt time.Duration
 }
 
 // phase is the state of a task.
@@ -99,7 +99,7 @@
 	// endUnknown is set if the last attempt counts as ended though no list reported its
 	// end. Such a task starts again only while the lease is held for certain: the next
 	// owner may know how the attempt ended.
-	concluded bool
+	endUnknown bool
 	// speedMoves counts the moves off slow workers.
 	speedMoves int
 	// failedInTerm is set once this owner has read a failure of the task; for a gang it
@@ -108,17 +108,17 @@
 	// crashes is how many workers in a row crashed at its start, counted for a gang at
 	// its first task; crashVersion is the job's version that records it;
 	// unconfirmedCrashes is how many more of its runs may have been crashes, see lostIncarnation.
-	crashes, unsettled int
-	crashVersion       uint64
-	// comparedAt is when its newest crash is compared with those of other workers; see
+	crashes, unconfirmedCrashes int
+	crashVersion                uint64
+	// crashComparedAt is when its newest crash is compared with those of other workers; see
 	// crashComparison.
-	comparedAt time.Duration
+	crashComparedAt time.Duration
 	// possibleCrashRuns may have crashed their workers, while no crash is known; see
 	// recordStartLostWithOwner and recordInconclusiveEnd.
-	doubts []uint64
-	// lastStartKnown is set once the outcome of its last start by the previous
+	possibleCrashRuns []uint64
+	// previousTermStartKnown is set once the outcome of its last start by the previous
 	// owner is known.
-	lastStartKnown bool
+	previousTermStartKnown bool
 }
 
 // attempt is a run that was ordered and may be running.
@@ -139,31 +139,31 @@
 	// lost is set if no list reported how the run ended.
 	lost bool
 	// unlisted is set while the newest lists lack a run that was known to be at the worker;
-	// missedAt is when the first of these lists was read; see missing.
-	missed   bool
-	missedAt time.Duration
-	tries    int // copies of the start that were sent
+	// unlistedAt is when the first of these lists was read; see missing.
+	unlisted   bool
+	unlistedAt time.Duration
+	tries      int // copies of the start that were sent
 	// placedAt is when it was ordered, started when that was confirmed.
-	placedAt time.Duration
-	started  time.Duration
-	stopping bool
-	listed   bool          // by the worker's incarnation
-	atWork   bool          // past its start in the newest list
-	stopAt   time.Duration // when the last stop was sent
+	placedAt  time.Duration
+	started   time.Duration
+	stopping  bool
+	listed    bool          // by the worker's incarnation
+	pastStart bool          // past its start in the newest list
+	stopAt    time.Duration // when the last stop was sent
 	// wantedPace is the wanted limit of its CPU share in percent, ackedPace the one that
 	// the worker has acknowledged.
-	percent, paced int
-	paceAt         time.Duration // when the last order of a pace was sent
-	paceDoubted    time.Duration // when an order of a pace last got no answer
-	progress       progressTracker
-	slowedSince    time.Duration // since when its pace is below movePace
-	fullCPU        float64       // thousandths of a core at full pace, from readings
-	hasUse         bool          // fullCPU is set
-	used           float64       // the newest reading, thousandths of a core
-	tail           tailTracker
-	ticket         string
-	adopted        bool
-	trial          bool // see recordSuspectStart
+	wantedPace, ackedPace int
+	paceSentAt            time.Duration // when the last order of a pace was sent
+	paceUnansweredAt      time.Duration // when an order of a pace last got no answer
+	progress              progressTracker
+	slowedSince           time.Duration // since when its pace is below movePace
+	fullCPU               float64       // thousandths of a core at full pace, from readings
+	hasFullCPU            bool          // fullCPU is set
+	lastReading           float64       // the newest reading, thousandths of a core
+	tail                  tailTracker
+	ticket                string
+	adopted               bool
+	trial                 bool // see recordSuspectStart
 }
 
 func (t *task) id() job.TaskID {
@@ -208,13 +208,13 @@
 	if progress != nil {
 		j.progress = *progress
 		j.shown = progress.State
-		j.begun = progress.State != job.Queued
+		j.started = progress.State != job.Queued
 	}
 	if j.progress.State.Final() {
 		return
 	}
 	j.build(stored && len(c.unresolved) > 0)
-	c.takeCrashes(j)
+	c.restoreCrashes(j)
 	if stored {
 		c.recoverPossibleCrashes(j, now)
 		c.recoverStarts(j, now)
@@ -237,8 +237,8 @@
 // 2.4 s even if its connection is silent. For a job from before a takeover, a minute more
 // makes no difference to its customer.
 const (
-	mostNewAge    = 3 * time.Second
-	mostStoredAge = 60 * time.Second
+	maxNewAge    = 3 * time.Second
+	maxStoredAge = 60 * time.Second
 )
 
 // ageAtIntake returns how long ago a job was accepted, as far as the clocks of the
@@ -246,9 +246,9 @@
 // steady clock counts. Without the bounds, a clock that is hours ahead makes all jobs of
 // its entry hopelessly late, or the most urgent of all.
 func ageAtIntake(spec *job.Spec, stored bool, now Instant) time.Duration {
-	most := mostNewAge
+	most := maxNewAge
 	if stored {
-		most = mostStoredAge
+		most = maxStoredAge
 	}
 	age := time.Duration(now.UnixMS-spec.AcceptedMS) * time.Millisecond
 	return min(max(age, 0), most)
@@ -278,8 +278,8 @@
 		}
 		for _, s := range j.steps[first:] {
 			for _, earlier := range s.spec.After {
-				if j.steps[first+earlier].left > 0 {
-					s.after++
+				if j.steps[first+earlier].remaining > 0 {
+					s.pendingPredecessors++
 				}
 			}
 		}
@@ -304,13 +304,13 @@
 		if unknown {
 			t.phase = phaseUnknown
 		}
-		s.left++
+		s.remaining++
 	}
 	return s
 }
 
-// takeCrashes sets the crash counts of a job's tasks from its stored progress.
-func (c *Core) takeCrashes(j *jobState) {
+// restoreCrashes sets the crash counts of a job's tasks from its stored progress.
+func (c *Core) restoreCrashes(j *jobState) {
 	if len(j.progress.Crashes) == 0 {
 		return
 	}
@@ -323,7 +323,7 @@
 
 // openStep makes the tasks of a step ready if it is due and waits for no other step.
 func (c *Core) openStep(s *stepRun, now Instant) {
-	if s.after > 0 || s.left == 0 || s.job.cancelled {
+	if s.pendingPredecessors > 0 || s.remaining == 0 || s.job.cancelled {
 		return
 	}
 	if due := s.job.spec.DueMS(s.occurrence); due > now.UnixMS {
@@ -341,10 +341,10 @@
 func (s *stepRun) due(now Instant) bool { return s.job.spec.DueMS(s.occurrence) <= now.UnixMS }
 
 // mayHaveStarted reports whether an owner may have started tasks of the step.
-func (s *stepRun) mayHaveBegun(now Instant) bool { return !s.blocked() && s.due(now) }
+func (s *stepRun) mayHaveStarted(now Instant) bool { return !s.blocked() && s.due(now) }
 
 // blocked reports whether an earlier step is not done.
-func (s *stepRun) blocked() bool { return s.after > 0 }
+func (s *stepRun) blocked() bool { return s.pendingPredecessors > 0 }
 
 func (c *Core) makeReady(t *task, now Instant) {
 	if c.mayHaveFailedBefore(t) {
--- a/dispatch/keep_test.go
+++ b/dispatch/keep_test.go
@@ -35,7 +35,7 @@
 
 func simulateCrowdedDay(seed uint64) crowdedDay {
 	c := &crowdedSim{sim: newSim(seed, 40), due: map[string]time.Duration{}}
-	c.day.shortestRetry = retryMost
+	c.day.shortestRetry = maxAdmitRetry
 	c.run(time.Second)
 	for range 20 {
 		c.submitLongRunning()
@@ -133,7 +133,7 @@
 		if atWork < 0.9 {
 			t.Errorf("seed %d: %.2f of the accepted long-running tasks at work", seed, atWork)
 		}
-		if d.refused > 0 && (d.shortestRetry < retryLeast || d.longestRetry > retryMost) {
+		if d.refused > 0 && (d.shortestRetry < minAdmitRetry || d.longestRetry > maxAdmitRetry) {
 			t.Errorf("seed %d: retry after %v to %v", seed, d.shortestRetry, d.longestRetry)
 		}
 	}
@@ -255,7 +255,7 @@
 	starts(core)
 	for _, w := range core.order {
 		for _, a := range w.attempts {
-			a.task.phase, a.atWork, a.started = phaseRunning, true, now.Steady-clearAge
+			a.task.phase, a.pastStart, a.started = phaseRunning, true, now.Steady-clearAge
 		}
 	}
 	k := core.reservedCapacityOf("svc")
--- a/dispatch/leaving.go
+++ b/dispatch/leaving.go
@@ -10,15 +10,15 @@
 	// stopLead before a worker leaves, tasks that still run there are stopped: a
 	// stop takes up to 0.9 s, and the end must still be read.
 	stopLead = 1500 * time.Millisecond
-	// leavingPerTick bounds the long-running tasks that are moved in one tick: the
+	// maxLeavingMovesPerTick bounds the long-running tasks that are moved in one tick: the
 	// capacity found for one counts as taken only once the task has started there, so
 	// several may be moved on account of the same capacity.
-	leavingPerTick = 4
+	maxLeavingMovesPerTick = 4
 )
 
 // recordLeaveTime records how long a draining worker stays. The figure was true
 // when the worker wrote it, so the earliest end that follows from any counts.
-func (c *Core) noteLeaving(w *worker, left time.Duration, now Instant) {
+func (c *Core) recordLeaveTime(w *worker, left time.Duration, now Instant) {
 	at := now.Steady + left
 	if w.leavesAt == 0 || at < w.leavesAt {
 		w.leavesAt = at
@@ -29,7 +29,7 @@
 // soon as there is capacity elsewhere, others if they can't end in time. A stop
 // saves a checkpoint, so it comes as late as is safe for tasks that have one.
 func (c *Core) moveOffLeaving(now Instant) {
-	budget := leavingPerTick
+	budget := maxLeavingMovesPerTick
 	for _, w := range c.workersInOrder() {
 		if w.leavesAt == 0 || len(w.attempts) == 0 {
 			continue
@@ -43,7 +43,7 @@
 			switch {
 			case left < stopLead:
 				c.move(a, "its worker leaves", now)
-			case s.spec.Lasting && budget > 0 && c.hasRoomElsewhere(a.task, now):
+			case s.spec.Lasting && budget > 0 && c.hasCapacityElsewhere(a.task, now):
 				budget--
 				c.move(a, "its worker drains", now)
 			case !s.spec.Lasting && !s.spec.Checkpoints && c.estimate(s)-(now.Steady-a.started) > left:
@@ -63,7 +63,7 @@
 	c.stop(a, reason, now)
 }
 
-func (c *Core) hasRoomElsewhere(t *task, now Instant) bool {
+func (c *Core) hasCapacityElsewhere(t *task, now Instant) bool {
 	service := c.queues[t.step.job.spec.Queue].Service
 	return c.choose(t, c.poolOf(service, now), c.plainView(t.step, now), now) != nil
 }
--- a/dispatch/lists.go
+++ b/dispatch/lists.go
@@ -25,7 +25,7 @@
 	for i := range ends {
 		if e := &ends[i]; e.Number > w.processedEnd {
 			w.processedEnd = e.Number
-			c.takeEnd(w, e, now)
+			c.processEnd(w, e, now)
 		}
 	}
 }
@@ -104,13 +104,13 @@
 	if t.phase == phaseReady {
 		t.step.ready--
 	}
-	a := &attempt{task: t, worker: w, run: row.Run, percent: fullPace, paced: fullPace, started: now.Steady, adopted: true}
+	a := &attempt{task: t, worker: w, run: row.Run, wantedPace: fullPace, ackedPace: fullPace, started: now.Steady, adopted: true}
 	if t.step.spec.Fills {
-		a.paced = paceUnknown // the previous owner may have slowed it
+		a.ackedPace = paceUnknown // the previous owner may have slowed it
 	}
 	t.attempt, t.phase = a, phaseRunning
 	if c.ofEarlierTerm(row.Run) {
-		t.noteStarted(row.Run, w)
+		t.addStart(row.Run, w)
 	}
 	t.step.job.active++
 	if t.step.perWork != nil {
@@ -127,7 +127,7 @@
 // confirm applies what a row reports about an attempt.
 func (c *Core) confirm(a *attempt, row *RunningTask, clock int64, now Instant) {
 	t := a.task
-	c.markBegun(t.step.job)
+	c.markStarted(t.step.job)
 	if a.ackClock == 0 {
 		a.ackClock = clock
 	}
@@ -136,10 +136,10 @@
 		a.started = now.Steady
 	}
 	if row.Checkpoint != "" {
-		c.noteCheckpoint(t, a.worker, checkpoint{text: row.Checkpoint, run: row.Run, worker: a.worker.info.ID, clock: clock})
+		c.recordCheckpoint(t, a.worker, checkpoint{text: row.Checkpoint, run: row.Run, worker: a.worker.info.ID, clock: clock})
 	}
-	a.missed, a.listed = false, true
-	a.atWork = row.Percent == fullPace
+	a.unlisted, a.listed = false, true
+	a.pastStart = row.Percent == fullPace
 	c.clearIfOutlived(a, now)
 	if !a.worker.forLease { // two lists at short intervals give no measure of speed
 		c.measureSpeed(a, row.Percent, now)
@@ -165,11 +165,11 @@
 	if reply.full() {
 		return // its end may not have fitted in the answer
 	}
-	if !a.missed {
-		a.missed, a.missedAt = true, now.Steady
+	if !a.unlisted {
+		a.unlisted, a.unlistedAt = true, now.Steady
 		return
 	}
-	if a.worker.pollSent < a.missedAt {
+	if a.worker.pollSent < a.unlistedAt {
 		return
 	}
 	reason, since := "not listed after its start's deadline", a.deadline
--- a/dispatch/lives.go
+++ b/dispatch/lives.go
@@ -224,7 +224,7 @@
 		s.perWork[w]--
 		s.perWork[next]++
 	}
-	a.worker, a.deadline, a.ackClock, a.missed, a.listed = next, 0, 0, false, false
+	a.worker, a.deadline, a.ackClock, a.unlisted, a.listed = next, 0, 0, false, false
 	if a.task.lastStart.run == a.run {
 		a.task.lastStart.worker = next.info.ID
 	}
--- a/dispatch/lostlife.go
+++ b/dispatch/lostlife.go
@@ -143,7 +143,7 @@
 func (c *Core) addUnsettled(l lostIncarnation, change int) {
 	for _, r := range l.runs {
 		if t := c.suspectByName(r.Task); t != nil {
-			c.setSuspectedCrashes(t, t.crashes, t.unsettled+change)
+			c.setSuspectedCrashes(t, t.crashes, t.unconfirmedCrashes+change)
 		}
 	}
 }
@@ -180,7 +180,7 @@
 // proves nothing, but counts towards maxCrashes once the task crashes a worker. It applies
 // to tasks without known crashes: each start of a suspect is recorded anyway.
 func (c *Core) recordStartLostWithOwner(t *task, now Instant) {
-	if t.suspect() == t && t.step.mayHaveBegun(now) && t.step.gangRun == 0 && !t.lastStartKnown && t.crashes == 0 && c.lostInTerm.has(t) {
+	if t.suspect() == t && t.step.mayHaveStarted(now) && t.step.gangRun == 0 && !t.previousTermStartKnown && t.crashes == 0 && c.lostInTerm.has(t) {
 		c.addPossibleCrash(t, c.term<<runBits)
 	}
 }
@@ -215,19 +215,19 @@
 // addPossibleCrash records a run that may have crashed its worker, of a task without known
 // crashes.
 func (c *Core) addPossibleCrash(t *task, run uint64) {
-	if len(t.doubts) < maxPossibleCrashes && !slices.Contains(t.doubts, run) {
-		c.setPossibleCrashes(t, append(slices.Clone(t.doubts), run))
+	if len(t.possibleCrashRuns) < maxPossibleCrashes && !slices.Contains(t.possibleCrashRuns, run) {
+		c.setPossibleCrashes(t, append(slices.Clone(t.possibleCrashRuns), run))
 	}
 }
 
 func (c *Core) setPossibleCrashes(t *task, runs []uint64) {
 	switch {
-	case len(t.doubts) == 0 && len(runs) > 0:
+	case len(t.possibleCrashRuns) == 0 && len(runs) > 0:
 		c.possibleCrashTasks++
-	case len(t.doubts) > 0 && len(runs) == 0:
+	case len(t.possibleCrashRuns) > 0 && len(runs) == 0:
 		c.possibleCrashTasks--
 	}
-	t.doubts = runs
+	t.possibleCrashRuns = runs
 }
 
 // recoverPossibleCrashes records a possible crash for each task that may have run at workers
@@ -237,7 +237,7 @@
 		return
 	}
 	for _, s := range j.steps {
-		if !s.mayHaveBegun(now) {
+		if !s.mayHaveStarted(now) {
 			continue
 		}
 		for _, t := range s.tasks {
--- a/dispatch/members.go
+++ b/dispatch/members.go
@@ -25,7 +25,7 @@
 			c.trace(Decision{Event: "worker_listed", Worker: info.ID, Reason: info.Address})
 		}
 		if info.Draining {
-			c.noteLeaving(w, info.Leaving, now)
+			c.recordLeaveTime(w, info.Leaving, now)
 		}
 		if info.Draining && !w.info.Draining {
 			c.trace(Decision{Event: "worker_draining", Worker: info.ID, Reason: info.Leaving.String()})
--- a/dispatch/oldercheckpoint_test.go
+++ b/dispatch/oldercheckpoint_test.go
@@ -10,7 +10,7 @@
 // TestEndsAfterTakeoverKeepNewestCheckpoint: a start carries the checkpoint of the newest run that
 // reported one, in whichever order workers report. After a takeover, workers list ends, also of
 // several runs of one task, that the previous owner had processed and not yet acknowledged.
-func TestOlderRunsCheckpointReplacesNone(t *testing.T) {
+func TestEndsAfterTakeoverKeepNewestCheckpoint(t *testing.T) {
 	core, now := idleCore(t, 2)
 	core.term = 3
 	for _, w := range core.workers {
--- a/dispatch/onlyonce_test.go
+++ b/dispatch/onlyonce_test.go
@@ -47,7 +47,7 @@
 
 // TestTaskWhoseEndIsUnknownWaitsForTheLease: a task whose worker was lost starts again only while
 // the lease is held for certain, since another owner may know how the run ended.
-func TestTaskWhoseEndIsUnknownAwaitsASureLease(t *testing.T) {
+func TestTaskWhoseEndIsUnknownWaitsForTheLease(t *testing.T) {
 	core, now, o := runningTask(t)
 	core.releaseAllLost(core.workers[o.Worker], "its leases are over", now)
 	now.Steady = core.leaseHeldUntil
@@ -64,7 +64,7 @@
 
 // TestEarlierDoneRunEndsTheTask: a run that was given up is reported as done while a later one runs
 // elsewhere. The later one is stopped and the task does not start again.
-func TestEarlierRunThatIsDoneEndsTheTask(t *testing.T) {
+func TestEarlierDoneRunEndsTheTask(t *testing.T) {
 	core, now, o := runningTask(t)
 	core.releaseAllLost(core.workers[o.Worker], "its leases are over", now)
 	core.Schedule(now)
@@ -87,7 +87,7 @@
 
 // TestUnwantedRunsAreStopped: runs of the previous owner, of tasks that are done or of jobs that have
 // ended, are stopped repeatedly until they are no longer listed, and not adopted.
-func TestRunsThatAreNotWantedAreStopped(t *testing.T) {
+func TestUnwantedRunsAreStopped(t *testing.T) {
 	done := func(spec *job.Spec) *job.Progress {
 		p := &job.Progress{State: job.Running}
 		p.MarkDone(job.TaskID{Job: spec.ID}, spec.Steps[0].Count)
@@ -132,7 +132,7 @@
 
 // TestRefusedCopyDoesNotReleaseUnansweredStart: if an earlier copy of a start got no answer, it may
 // have been carried out, so the refusal of a later copy must not release the task.
-func TestRefusedCopyProvesNothing(t *testing.T) {
+func TestRefusedCopyDoesNotReleaseUnansweredStart(t *testing.T) {
 	for _, unanswered := range []bool{false, true} {
 		for _, refusal := range []Outcome{OutcomeOld, OutcomeNoCapacity, OutcomeUnwell, OutcomeLate} {
 			core, now := idleCore(t, 2)
@@ -154,7 +154,7 @@
 }
 
 // TestHeldJobsDoNotStart: a held job does not start, however often it is received.
-func TestHeldJobsAreLeftAlone(t *testing.T) {
+func TestHeldJobsDoNotStart(t *testing.T) {
 	core, now := idleCore(t, 1)
 	spec := simpleJob(1, 1)
 	core.HoldJob(spec.ID)
@@ -168,7 +168,7 @@
 
 // TestEndOfIncarnationIsAppliedUnderTheLease: runs of an ended incarnation are given up only while
 // the lease is held for certain: the next owner may have read how they ended.
-func TestEndOfALifeIsConcludedUnderASureLease(t *testing.T) {
+func TestEndOfIncarnationIsAppliedUnderTheLease(t *testing.T) {
 	core, now, o := runningTask(t)
 	now.Steady = core.leaseHeldUntil
 	core.PollDone(PollRequest{Worker: o.Worker}, PollReply{}, OutcomeOtherIncarnation, now)
--- a/dispatch/orders.go
+++ b/dispatch/orders.go
@@ -26,10 +26,10 @@
 	deadline := c.deadlineIn(w, startWindow, now)
 	a := &attempt{
 		task: t, worker: w, run: run, deadline: deadline, tries: 1, placedAt: now.Steady, started: now.Steady,
-		percent: fullPace, paced: fullPace, ticket: ticket,
+		wantedPace: fullPace, ackedPace: fullPace, ticket: ticket,
 	}
-	t.attempt, t.phase, t.concluded = a, phaseStarting, false
-	t.noteStarted(run, w)
+	t.attempt, t.phase, t.endUnknown = a, phaseStarting, false
+	t.addStart(run, w)
 	s.ready--
 	s.job.active++
 	if s.perWork != nil {
@@ -124,9 +124,9 @@
 func (c *Core) startDone(a *attempt, o Order, ans Answer, now Instant) {
 	switch ans.Outcome {
 	case OutcomeOK:
-		a.ackClock, a.missed = max(a.ackClock, ans.ClockMS), false
+		a.ackClock, a.unlisted = max(a.ackClock, ans.ClockMS), false
 		a.worker.confirmedDeadline = max(a.worker.confirmedDeadline, o.DeadlineMS)
-		c.markBegun(a.task.step.job)
+		c.markStarted(a.task.step.job)
 		if a.task.phase == phaseStarting {
 			a.task.phase = phaseRunning
 			a.started = now.Steady
@@ -182,7 +182,7 @@
 // stopDone records that the worker will refuse a start that has not arrived yet.
 func (c *Core) stopDone(a *attempt, ans Answer) {
 	if ans.Outcome == OutcomeOK {
-		a.ackClock, a.missed = max(a.ackClock, ans.ClockMS), false
+		a.ackClock, a.unlisted = max(a.ackClock, ans.ClockMS), false
 	}
 }
 
@@ -190,11 +190,11 @@
 	a.progress.at = 0 // a measurement spans one pace only
 	switch ans.Outcome {
 	case OutcomeOK:
-		a.paced = o.Percent
+		a.ackedPace = o.Percent
 	case OutcomeUnknown, OutcomeBroken:
-		a.paced, a.paceDoubted = paceUnknown, now.Steady
+		a.ackedPace, a.paceUnansweredAt = paceUnknown, now.Steady
 	default:
-		a.paced = paceUnknown
+		a.ackedPace = paceUnknown
 	}
 }
 
--- a/dispatch/pace.go
+++ b/dispatch/pace.go
@@ -52,13 +52,13 @@
 		a.tail.record(float64(row.Reading)/float64(s.TargetMS), now.Steady)
 		return
 	}
-	a.used = float64(row.Reading)
-	if now.Steady-a.started < recentRun || a.paced < leastPaceRead {
+	a.lastReading = float64(row.Reading)
+	if now.Steady-a.started < recentRun || a.ackedPace < leastPaceRead {
 		return
 	}
-	full := float64(row.Reading) * fullPace / float64(a.paced)
-	if !a.hasUse {
-		a.fullCPU, a.hasUse = full, true
+	full := float64(row.Reading) * fullPace / float64(a.ackedPace)
+	if !a.hasFullCPU {
+		a.fullCPU, a.hasFullCPU = full, true
 		return
 	}
 	a.fullCPU += cpuSmoothing * (full - a.fullCPU)
@@ -109,14 +109,14 @@
 }
 
 func (c *Core) setPace(w *worker, a *attempt, percent int, over time.Duration) {
-	if a.percent == percent {
+	if a.wantedPace == percent {
 		return
 	}
-	if percent < a.percent {
+	if percent < a.wantedPace {
 		c.stats.Paced++
 		c.trace(Decision{Event: eventSlowed, Job: a.task.step.job.spec.ID, Task: a.task.id(), Run: a.run, Worker: w.info.ID, Reason: strconv.Itoa(percent), Age: over})
 	}
-	a.percent = percent
+	a.wantedPace = percent
 }
 
 // trackSlowed records since when a fill has been too slow to stay.
@@ -135,7 +135,7 @@
 	if a.slowedSince == 0 || !a.task.step.spec.Checkpoints || a.task.phase != phaseRunning || now.Steady-a.started <= moveAge {
 		return false
 	}
-	return now.Steady-a.slowedSince >= requeueAfter || c.hasRoomElsewhere(a.task, now)
+	return now.Steady-a.slowedSince >= requeueAfter || c.hasCapacityElsewhere(a.task, now)
 }
 
 // Parameters of paces that may not be in force.
@@ -152,11 +152,11 @@
 
 // paceDue reports whether a run's pace must be sent to its worker.
 func (a *attempt) paceDue(now Instant) bool {
-	since := now.Steady - a.paceAt
-	if a.percent != a.paced {
+	since := now.Steady - a.paceSentAt
+	if a.wantedPace != a.ackedPace {
 		return since >= pollWaitWatched/2
 	}
-	return a.paceDoubted > 0 && a.paceAt < a.paceDoubted+latePaceWindow && since >= paceResendPause
+	return a.paceUnansweredAt > 0 && a.paceSentAt < a.paceUnansweredAt+latePaceWindow && since >= paceResendPause
 }
 
 // sendPaces sends the worker the paces that it has not acknowledged.
@@ -165,10 +165,10 @@
 		if a.stopping || a.task.phase != phaseRunning || now.Steady-a.started < c.params.PaceAfter || !a.paceDue(now) {
 			continue
 		}
-		a.paceAt = now.Steady
+		a.paceSentAt = now.Steady
 		c.out = append(c.out, Order{
 			Kind: OrderPace, Worker: w.info.ID, Address: w.info.Address, Token: c.tokenOf(w),
-			Task: a.task.id(), Run: a.run, Percent: a.percent,
+			Task: a.task.id(), Run: a.run, Percent: a.wantedPace,
 		})
 	}
 }
--- a/dispatch/pending_test.go
+++ b/dispatch/pending_test.go
@@ -10,7 +10,7 @@
 // TestPendingCountsDeferredJobs: jobs that came while the lease was not held for certain count as
 // waiting, once each. Otherwise customers see that no job of a queue waits, while dozens have
 // waited for five seconds at an owner that is late with its renewals.
-func TestPendingCountsJobsThatAreDeferred(t *testing.T) {
+func TestPendingCountsDeferredJobs(t *testing.T) {
 	c := New(Params{OwnerTTL: 2500 * time.Millisecond, OwnerHorizon: 12 * time.Second, MaxTaskLease: 6 * time.Second}, 1, nil)
 	c.Renewed(0)
 	late := Instant{Steady: 3 * time.Second}
@@ -30,7 +30,7 @@
 
 // TestPendingCountsJobsThatHaveNotStarted: Pending counts the jobs of the queue that have not
 // ended and of which no task has started.
-func TestPendingCountsJobsThatHaveNotBegun(t *testing.T) {
+func TestPendingCountsJobsThatHaveNotStarted(t *testing.T) {
 	core, now := idleCore(t, 1)
 	core.SetConfig(&job.Config{Version: 2, Queues: []job.Queue{{Name: "q", Service: "svc", Stretch: 2}, {Name: "other", Service: "svc", Stretch: 2}}})
 	check := func(what, queue string, want int) {
@@ -55,7 +55,7 @@
 	core.OrderDone(ordered[0], Answer{Outcome: OutcomeOK, ClockMS: 1000}, now)
 	check("one started", "q", 2)
 	for i := range 3 {
-		if !core.jobs[simpleJob(i).ID].begun {
+		if !core.jobs[simpleJob(i).ID].started {
 			core.Cancel(simpleJob(i).ID, now)
 			break
 		}
--- a/dispatch/pendingbegun_test.go
+++ b/dispatch/pendingbegun_test.go
@@ -10,7 +10,7 @@
 // tasks, not when the start is ordered. Otherwise, after all entries were killed, customers see
 // that no job of a queue waits: the last owner had ordered the starts, none was carried out, and
 // its records had the jobs as running.
-func TestPendingCountsJobsWhoseStartsCameToNothing(t *testing.T) {
+func TestPendingCountsJobsWhoseStartsFailed(t *testing.T) {
 	for _, outcome := range []Outcome{OutcomeNoCapacity, OutcomeUnwell, OutcomeNotSent, OutcomeUnknown, OutcomeBroken} {
 		t.Run(outcome.String(), func(t *testing.T) {
 			core, now := idleCore(t, 1)
@@ -44,7 +44,7 @@
 
 // TestPendingExcludesStartedJobs: the answer to the start, a list of running tasks or an end shows
 // that a job has started.
-func TestPendingLeavesOutJobsThatHaveBegun(t *testing.T) {
+func TestPendingExcludesStartedJobs(t *testing.T) {
 	for name, report := range map[string]func(core *Core, o Order, now Instant){
 		"the start is confirmed": func(core *Core, o Order, now Instant) {
 			core.OrderDone(o, Answer{Outcome: OutcomeOK, ClockMS: 1100}, now)
--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -40,7 +40,7 @@
 			pools[x.queue.Service] = p
 		}
 		if x.queue.Advice != nil {
-			p = &pool{workers: c.advised(x.step, p.workers, *x.queue.Advice, now)}
+			p = &pool{workers: c.workersWithTicket(x.step, p.workers, *x.queue.Advice, now)}
 		}
 		if x.step.spec.Gang {
 			c.placeGang(x.step, p, now)
@@ -83,7 +83,7 @@
 	}
 	var chosen *chooser
 	for _, t := range s.tasks {
-		if t.phase != phaseReady || t.suspectedCrashes() > 0 || now.Steady < t.notBefore || t.concluded && !c.holdsLease(now) {
+		if t.phase != phaseReady || t.suspectedCrashes() > 0 || now.Steady < t.notBefore || t.endUnknown && !c.holdsLease(now) {
 			continue
 		}
 		if chosen == nil || chosen.view != x.view {
@@ -138,10 +138,10 @@
 
 // logWaiting logs, at most once per waitingPause, why ready tasks of a step do not start.
 func (c *Core) logWaiting(s *stepRun, pool []*worker, now Instant) {
-	if now.Steady < s.toldWaiting+waitingPause {
+	if now.Steady < s.waitLoggedAt+waitingPause {
 		return
 	}
-	s.toldWaiting = now.Steady
+	s.waitLoggedAt = now.Steady
 	reason, fits := "no worker takes work", false
 	for _, w := range pool {
 		amount := s.amount()
--- a/dispatch/place_test.go
+++ b/dispatch/place_test.go
@@ -81,7 +81,7 @@
 		workers := c.poolOf(x.queue.Service, now)
 		v := c.viewOf(x.step, &pool{workers: workers}, now)
 		for _, t := range x.step.tasks {
-			if t.phase != phaseReady || now.Steady < t.notBefore || t.concluded && !c.holdsLease(now) {
+			if t.phase != phaseReady || now.Steady < t.notBefore || t.endUnknown && !c.holdsLease(now) {
 				continue
 			}
 			if t.suspectedCrashes() > 0 {
--- a/dispatch/places_test.go
+++ b/dispatch/places_test.go
@@ -140,7 +140,7 @@
 			t.Fatalf("step 0 of occurrence %d does not run", occurrence)
 		}
 		now.Steady += 100 * time.Millisecond
-		core.takeEnd(core.workers["w0"], &EndedTask{Number: uint64(round + 1), Task: first.id(), Run: first.attempt.run, Kind: EndDone}, now)
+		core.processEnd(core.workers["w0"], &EndedTask{Number: uint64(round + 1), Task: first.id(), Run: first.attempt.run, Kind: EndDone}, now)
 	}
 	core.Schedule(now)
 	list := starts(core)
--- a/dispatch/polls.go
+++ b/dispatch/polls.go
@@ -75,7 +75,7 @@
 	}
 	serves, fills := false, false
 	for _, a := range w.attempts {
-		if a.missed {
+		if a.unlisted {
 			return 0 // the next list decides
 		}
 		s := a.task.step.spec
--- a/dispatch/preempt.go
+++ b/dispatch/preempt.go
@@ -21,16 +21,16 @@
 // preempt frees capacity for ready tasks of a step that only lack memory: it stops
 // fills of less urgent queues, which continue elsewhere or later.
 func (c *Core) preempt(s *stepRun, priority int, pool []*worker, now Instant) {
-	if s.spec.Fills || now.Steady < s.preempted+preemptPause || now.Steady < s.preemptTried+preemptRetry {
+	if s.spec.Fills || now.Steady < s.preemptedAt+preemptPause || now.Steady < s.preemptCheckedAt+preemptRetry {
 		return
 	}
-	s.preemptTried = now.Steady
+	s.preemptCheckedAt = now.Steady
 	for range min(s.ready, preemptAtOnce) {
 		w, victims := c.cheapestVictims(s, priority, pool, now)
 		if w == nil {
 			return
 		}
-		s.preempted = now.Steady
+		s.preemptedAt = now.Steady
 		w.noPreemptionUntil = now.Steady + preemptPause
 		for _, a := range victims {
 			c.move(a, "makes room for more urgent work", now)
@@ -67,7 +67,7 @@
 			fills = append(fills, a)
 		}
 	}
-	slices.SortStableFunc(fills, func(a, b *attempt) int { return cmp.Compare(a.percent, b.percent) })
+	slices.SortStableFunc(fills, func(a, b *attempt) int { return cmp.Compare(a.wantedPace, b.wantedPace) })
 	for i, a := range fills {
 		if lacking -= a.task.step.spec.MemoryMiB; lacking <= 0 {
 			return fills[:i+1]
--- a/dispatch/progress.go
+++ b/dispatch/progress.go
@@ -3,7 +3,7 @@
 import "leverstile.dev/job"
 
 // markChanged counts a change of a job's progress and queues it to be written.
-func (c *Core) touch(j *jobState) {
+func (c *Core) markChanged(j *jobState) {
 	j.version++
 	if _, waits := c.dirty[j]; !waits {
 		c.turn++
@@ -14,15 +14,15 @@
 // markStarted records that a worker has started a task of the job. An order alone does not
 // count, since it may have no effect, also after a takeover, and customers ask how many
 // jobs have not started.
-func (c *Core) markBegun(j *jobState) {
-	if j.begun {
+func (c *Core) markStarted(j *jobState) {
+	if j.started {
 		return
 	}
-	j.begun = true
+	j.started = true
 	if j.progress.State == job.Queued {
 		j.progress.State = job.Running
 		j.shown = job.Running // shown before it is stored, since it promises nothing
-		c.touch(j)
+		c.markChanged(j)
 	}
 }
 
@@ -39,17 +39,17 @@
 	} else {
 		c.markDone(t)
 	}
-	if s.left > 0 {
+	if s.remaining > 0 {
 		return
 	}
 	first := s.occurrence * len(s.job.spec.Steps)
 	for _, next := range s.job.steps[first : first+len(s.job.spec.Steps)] {
 		for _, earlier := range next.spec.After {
 			if earlier == s.index {
-				next.after--
+				next.pendingPredecessors--
 			}
 		}
-		if next.after == 0 && next != s {
+		if next.pendingPredecessors == 0 && next != s {
 			c.openStep(next, now)
 		}
 	}
@@ -66,14 +66,14 @@
 	}
 	t.phase = phaseDone
 	c.setPossibleCrashes(t, nil)
-	s.left--
+	s.remaining--
 	s.job.progress.MarkDone(t.id(), s.spec.Count)
-	c.touch(s.job)
+	c.markChanged(s.job)
 }
 
 func (c *Core) finishIfDone(j *jobState, now Instant) {
 	for _, s := range j.steps {
-		if s.left > 0 {
+		if s.remaining > 0 {
 			return
 		}
 	}
@@ -90,7 +90,7 @@
 		j.progress.Reason = reason
 	}
 	j.progress.EndedMS, j.endedAt = now.UnixMS, now.Steady
-	c.touch(j)
+	c.markChanged(j)
 	c.trace(Decision{Event: "job_" + string(state), Job: j.spec.ID, Reason: reason})
 	for _, s := range j.steps {
 		for _, t := range s.tasks {
@@ -146,7 +146,7 @@
 func (c *Core) Pending(queue string) int {
 	n := 0
 	for _, j := range c.jobs {
-		if j.spec.Queue == queue && !j.begun && !j.progress.State.Final() {
+		if j.spec.Queue == queue && !j.started && !j.progress.State.Final() {
 			n++
 		}
 	}
--- a/dispatch/rank.go
+++ b/dispatch/rank.go
@@ -129,7 +129,7 @@
 		}
 		each := c.estimate(x).Seconds() * float64(x.spec.CPUMilli)
 		whole += each * float64(x.spec.Count)
-		left += each * (float64(x.left) - runningWeight*float64(x.active()))
+		left += each * (float64(x.remaining) - runningWeight*float64(x.active()))
 	}
 	return left / max(whole, minWork)
 }
@@ -173,7 +173,7 @@
 	list := c.candidateScratch[:0]
 	stillOpen := c.openSteps[:0]
 	for _, s := range c.openSteps {
-		if s.job.progress.State.Final() || s.left == 0 {
+		if s.job.progress.State.Final() || s.remaining == 0 {
 			s.queued = false
 			continue
 		}
--- a/dispatch/recover.go
+++ b/dispatch/recover.go
@@ -161,7 +161,7 @@
 			for _, t := range s.tasks {
 				if t.phase == phaseUnknown && !c.mayRun(t) {
 					t.phase = phaseWaiting
-					t.concluded = true
+					t.endUnknown = true
 					c.recordStartLostWithOwner(t, now)
 				}
 			}
--- a/dispatch/reread_test.go
+++ b/dispatch/reread_test.go
@@ -40,7 +40,7 @@
 				t.Fatalf("%d jobs are to be removed", len(ids))
 			}
 			if removed {
-				core.Removed(1, 70)
+				core.RecordsRemoved(1, 70)
 			}
 			core.AddJob(simpleJob(1, 1), nil, false, now)
 			core.Tick(now)
--- a/dispatch/runtimes.go
+++ b/dispatch/runtimes.go
@@ -72,7 +72,7 @@
 		for _, earlier := range s.spec.After {
 			ends[i] = max(ends[i], ends[earlier])
 		}
-		if s.left > 0 && !s.spec.Lasting {
+		if s.remaining > 0 && !s.spec.Lasting {
 			ends[i] += c.estimate(s)
 		}
 		longest = max(longest, ends[i])
--- a/dispatch/sameid_test.go
+++ b/dispatch/sameid_test.go
@@ -21,10 +21,10 @@
 	c.Persisted(records)
 	now := Instant{Steady: 2 * time.Second}
 	c.Tick(now)
-	c.Removed(1, 70)
+	c.RecordsRemoved(1, 70)
 	c.AddRecordedJob(spec, 71, now) // in the answer that also reports revision 70
 	c.Tick(now)
-	c.IntakeTaken(71)
+	c.IntakeProcessed(71)
 	if len(c.jobs) != 1 {
 		t.Error("the new job is ignored for good")
 	}
@@ -33,7 +33,7 @@
 // TestOldRecordOfADroppedID: a record from before the removal does not start a new job.
 func TestOldRecordOfADroppedID(t *testing.T) {
 	core, now := endedCore(t)
-	core.Removed(1, 70)
+	core.RecordsRemoved(1, 70)
 	core.AddRecordedJob(simpleJob(1, 1), 69, now)
 	core.Tick(now)
 	if n := len(starts(core)); n != 0 {
@@ -48,9 +48,9 @@
 	core, now := endedCore(t)
 	spec := simpleJob(1, 1)
 	core.AddRecordedJob(spec, 71, now)
-	core.IntakeTaken(71)
-	core.Removed(1, 70) // its answer arrives after the watch's update
-	core.IntakeTaken(72)
+	core.IntakeProcessed(71)
+	core.RecordsRemoved(1, 70) // its answer arrives after the watch's update
+	core.IntakeProcessed(72)
 	core.Tick(now)
 	if core.jobs[spec.ID] == nil {
 		t.Error("the new job is ignored for good")
--- a/dispatch/sim_faults_test.go
+++ b/dispatch/sim_faults_test.go
@@ -217,7 +217,7 @@
 		w.clock = min(w.clock, reply.ClockMS)
 		for _, a := range w.attempts {
 			a.ackClock = min(a.ackClock, reply.ClockMS-1)
-			a.missed, a.missedAt = true, 0 // as if another list had lacked it before
+			a.unlisted, a.unlistedAt = true, 0 // as if another list had lacked it before
 		}
 	}
 }
@@ -315,7 +315,7 @@
 		for _, id := range ids {
 			s.removeJob(id)
 		}
-		o.core.Removed(len(ids), 1) // the simulation has no revisions: the core keeps their ids
+		o.core.RecordsRemoved(len(ids), 1) // the simulation has no revisions: the core keeps their ids
 	})
 }
 
--- a/dispatch/speed.go
+++ b/dispatch/speed.go
@@ -67,7 +67,7 @@
 	if s.spec.Lasting || s.spec.Gang || a.stopping {
 		return
 	}
-	if p.at == 0 || a.paced != fullPace || a.percent != fullPace || percent < p.percent || now.Steady-a.started < c.startupTime(a.task) {
+	if p.at == 0 || a.ackedPace != fullPace || a.wantedPace != fullPace || percent < p.percent || now.Steady-a.started < c.startupTime(a.task) {
 		p.reset(percent, now.Steady)
 		return
 	}
@@ -100,25 +100,25 @@
 // that lacks capacity is slow because of that, not because of its worker.
 func (a *attempt) grantedShare() float64 {
 	s := a.task.step.spec
-	if !s.Fills || a.used == 0 || s.CPUMilli == 0 {
+	if !s.Fills || a.lastReading == 0 || s.CPUMilli == 0 {
 		return 1
 	}
-	return min(a.used/float64(s.CPUMilli), 1)
+	return min(a.lastReading/float64(s.CPUMilli), 1)
 }
 
 // addMeasurement records a measurement of one of the step's tasks.
 func (s *stepRun) addMeasurement(took time.Duration) {
-	s.measured++
-	if s.fastest == 0 || took < s.fastest {
-		s.fastest = took
+	s.runTimeSamples++
+	if s.shortestRunTime == 0 || took < s.shortestRunTime {
+		s.shortestRunTime = took
 	}
 }
 
 // usualRunTime returns the run time of a task of the step on a healthy worker, by the
 // step's fastest task or else by the mean of its queue and image; 0 if neither is known.
 func (s *stepRun) usualRunTime(c *Core) time.Duration {
-	if s.measured >= minPeers {
-		return time.Duration(float64(s.fastest) * peerFactor)
+	if s.runTimeSamples >= minPeers {
+		return time.Duration(float64(s.shortestRunTime) * peerFactor)
 	}
 	r := c.perfByKey[runTimeKey{s.job.spec.Queue, s.spec.Image}]
 	if r == nil || r.n < minPeers {
@@ -146,7 +146,7 @@
 	}
 	c.pauseSlowWorker(w, now)
 	for _, a := range slices.Clone(w.attempts) {
-		if c.endsSoonerElsewhere(a) && c.hasRoomElsewhere(a.task, now) {
+		if c.endsSoonerElsewhere(a) && c.hasCapacityElsewhere(a.task, now) {
 			a.task.speedMoves++
 			c.move(a, "its worker is slow", now)
 		}
--- a/dispatch/speed_test.go
+++ b/dispatch/speed_test.go
@@ -105,9 +105,9 @@
 			return percentOf(since, 10*time.Second)
 		}, func(s *speedCase) {
 			for _, task := range s.step.tasks {
-				task.attempt.used = 1000
+				task.attempt.lastReading = 1000
 			}
-			s.step.tasks[0].attempt.used = 250
+			s.step.tasks[0].attempt.lastReading = 250
 		}},
 		"a restore": {job.Step{Count: 5}, func(index int, since time.Duration) int {
 			if index == 0 {
--- a/dispatch/startrecord.go
+++ b/dispatch/startrecord.go
@@ -23,12 +23,12 @@
 // task with possible crashes only does not.
 func (c *Core) recordStart(a *attempt, checkpoint string) (waits bool) {
 	t := a.task.suspect()
-	if t.crashes == 0 && len(t.doubts) == 0 {
+	if t.crashes == 0 && len(t.possibleCrashRuns) == 0 {
 		return false
 	}
 	j := t.step.job
 	j.progress.AddStart(t.id(), job.Start{Run: a.run, Worker: string(a.worker.info.ID)})
-	c.touch(j)
+	c.markChanged(j)
 	if t.crashes == 0 {
 		return false
 	}
@@ -68,7 +68,7 @@
 	t = t.suspect()
 	j := t.step.job
 	if len(j.progress.Starts) > 0 && j.progress.DropStarts(t.id(), run) {
-		c.touch(j)
+		c.markChanged(j)
 	}
 }
 
@@ -142,7 +142,7 @@
 	if t.step.job.progress.State.Final() || t.phase == phaseDone || c.adopted(t, r.run) {
 		return
 	}
-	t.lastStartKnown = true
+	t.previousTermStartKnown = true
 	l := lostIncarnation{id: id, end: r.end, loss: contactLoss{since: now.Steady}, inherited: true, runs: []LostRun{{Task: t.id().String(), Run: r.run}}, at: now.Steady}
 	switch {
 	case !r.ended:
--- a/dispatch/suspect.go
+++ b/dispatch/suspect.go
@@ -33,15 +33,15 @@
 // started: known crashes, and runs whose worker's fate is unsettled.
 func (t *task) suspectedCrashes() int {
 	t = t.suspect()
-	return t.crashes + t.unsettled
+	return t.crashes + t.unconfirmedCrashes
 }
 
 // setSuspectedCrashes sets the number of known crashes of a suspect and of its unsettled
 // runs, and maintains the counts of suspects.
 func (c *Core) setSuspectedCrashes(t *task, crashes, unsettled int) {
-	before := t.crashes+t.unsettled > 0
-	t.crashes, t.unsettled = crashes, max(unsettled, 0)
-	after := t.crashes+t.unsettled > 0
+	before := t.crashes+t.unconfirmedCrashes > 0
+	t.crashes, t.unconfirmedCrashes = crashes, max(unsettled, 0)
+	after := t.crashes+t.unconfirmedCrashes > 0
 	if before == after {
 		return
 	}
@@ -56,7 +56,7 @@
 // setCrashes sets the number of known crashes of a suspect, and delays its next start
 // until the store holds that number.
 func (c *Core) setCrashes(t *task, n int) {
-	c.setSuspectedCrashes(t, n, t.unsettled)
+	c.setSuspectedCrashes(t, n, t.unconfirmedCrashes)
 	t.crashVersion = t.step.job.version
 }
 
@@ -94,18 +94,18 @@
 func (c *Core) countCrash(vm string, l lostIncarnation, r LostRun, now Instant) {
 	t := c.suspectByName(r.Task)
 	if t != nil && l.inherited {
-		t.lastStartKnown = true
+		t.previousTermStartKnown = true
 	}
 	if t == nil || !t.step.job.progress.CountCrash(t.id(), job.Crash{Run: r.Run, Unsure: r.inconclusive()}) {
 		return
 	}
 	j := t.step.job
 	j.progress.DropStarts(t.id(), r.Run)
-	for _, run := range t.doubts {
+	for _, run := range t.possibleCrashRuns {
 		c.countInconclusive(t, run, "it may have been started where a worker was lost before")
 	}
 	c.setPossibleCrashes(t, nil)
-	c.touch(j)
+	c.markChanged(j)
 	n := j.progress.CrashCount(t.id())
 	c.setCrashes(t, n.All)
 	d := taskDecision("task_suspected", t, nil, r.Run, fmt.Sprintf("its worker crashed at its start, %d times in a row", n.All))
@@ -138,7 +138,7 @@
 	if !j.progress.CountCrash(t.id(), job.Crash{Run: run, Unsure: true}) {
 		return
 	}
-	c.touch(j)
+	c.markChanged(j)
 	c.setCrashes(t, j.progress.CrashCount(t.id()).All)
 	c.logTask("task_suspected", t, nil, 0, reason)
 }
@@ -149,14 +149,14 @@
 func (c *Core) clearSuspicion(t *task, run uint64, reason string) {
 	t = t.suspect()
 	progress := &t.step.job.progress
-	if !slices.ContainsFunc(t.doubts, func(d uint64) bool { return d > run }) {
+	if !slices.ContainsFunc(t.possibleCrashRuns, func(d uint64) bool { return d > run }) {
 		c.setPossibleCrashes(t, nil)
 	}
 	if t.crashes == 0 || run < progress.NewestCrash(t.id()) {
 		return
 	}
 	progress.ClearCrashes(t.id())
-	c.touch(t.step.job)
+	c.markChanged(t.step.job)
 	c.setCrashes(t, 0)
 	c.logTask("task_cleared", t, nil, run, reason)
 }
@@ -168,7 +168,7 @@
 	}
 	t := a.task.suspect()
 	c.dropStarts(t, a.run)
-	if t.crashes > 0 || len(t.doubts) > 0 {
+	if t.crashes > 0 || len(t.possibleCrashRuns) > 0 {
 		c.clearSuspicion(t, a.run, "its run has outlived its start")
 	}
 }
@@ -189,9 +189,9 @@
 	switch {
 	case t.crashes > 0 && t.step.job.persisted < t.crashVersion:
 		return "the store to hold what is known of its crashes"
-	case t.unsettled > 0 && t.suspectedCrashes() >= maxCrashes:
+	case t.unconfirmedCrashes > 0 && t.suspectedCrashes() >= maxCrashes:
 		return "the VMs of its last runs to answer"
-	case t.suspectedCrashes() >= crashLimit && now.Steady < t.comparedAt:
+	case t.suspectedCrashes() >= crashLimit && now.Steady < t.crashComparedAt:
 		return "its newest crash to be told apart from others"
 	case c.isLastStart(t) && now.Steady-readySince < lowCrashRateWait && !c.lowCrashRateNow(t, now):
 		return "other workers to stop crashing"
--- a/dispatch/tail.go
+++ b/dispatch/tail.go
@@ -149,7 +149,7 @@
 	var load workerLoad
 	for _, a := range w.attempts {
 		if a.task.step.spec.Fills {
-			load.addFill(a.task.step.spec.Image, a.used, w.info.CPUMilli)
+			load.addFill(a.task.step.spec.Image, a.lastReading, w.info.CPUMilli)
 		}
 	}
 	return load.fills
--- a/dispatch/trial.go
+++ b/dispatch/trial.go
@@ -63,7 +63,7 @@
 		return
 	}
 	for _, t := range s.tasks {
-		if t.phase != phaseReady || t.suspectedCrashes() == 0 || now.Steady < t.notBefore || t.concluded && !c.holdsLease(now) || c.suspectWaitReason(t, now) != "" {
+		if t.phase != phaseReady || t.suspectedCrashes() == 0 || now.Steady < t.notBefore || t.endUnknown && !c.holdsLease(now) || c.suspectWaitReason(t, now) != "" {
 			continue
 		}
 		w, apart := c.workerForSuspect(t, p, now)
--- a/dispatch/unsurepace_test.go
+++ b/dispatch/unsurepace_test.go
@@ -60,9 +60,9 @@
 	now := Instant{Steady: time.Second}
 	core, row, a := fillCore(t, now)
 	halt := Order{Kind: OrderPace, Worker: "w1", Address: "w1", Token: 2, Task: row.Task, Run: row.Run}
-	a.percent = 0
+	a.wantedPace = 0
 	core.OrderDone(halt, Answer{Outcome: OutcomeUnknown}, Instant{Steady: 1400 * time.Millisecond})
-	a.percent = fullPace
+	a.wantedPace = fullPace
 	first := pacesFor(core, row, 1600*time.Millisecond, 2*time.Second)
 	later := pacesFor(core, row, 2*time.Second, 12*time.Second)
 	if len(first) == 0 || len(later) == 0 {
--- a/dispatch/upkeep.go
+++ b/dispatch/upkeep.go
@@ -19,30 +19,30 @@
 }
 
 // MaintenanceOrder asks the platform to take a VM down for its maintenance.
-type UpkeepOrder struct {
+type MaintenanceOrder struct {
 	Wave int64
 	VM   string
 	Term uint64
 }
 
 // MaintenanceOutcome is the result of a MaintenanceOrder.
-type UpkeepOutcome uint8
+type MaintenanceOutcome uint8
 
 // Outcomes. An order that was carried out before is answered with MaintenanceStarted.
 const (
-	UpkeepBegun UpkeepOutcome = iota
+	MaintenanceStarted MaintenanceOutcome = iota
 	// MaintenanceUnknown: no answer; the order may have been carried out.
-	UpkeepUnknown
+	MaintenanceUnknown
 	// MaintenanceBusy: the VM is not up.
-	UpkeepBusy
+	MaintenanceBusy
 	// MaintenanceFenced: an owner with a higher term has given an order for the VM.
-	UpkeepFenced
+	MaintenanceFenced
 	// MaintenanceNotWanted: the VM does not exist or is not part of the wave.
-	UpkeepNotWanted
+	MaintenanceNotWanted
 )
 
 // String returns the name of the outcome, as logged.
-func (o UpkeepOutcome) String() string {
+func (o MaintenanceOutcome) String() string {
 	return [...]string{"begun", "unknown", "busy", "fenced", "not_wanted"}[o]
 }
 
@@ -50,29 +50,29 @@
 const (
 	// MaintenanceTimeout bounds a call to the platform. An order is only given while the
 	// lease is held for certain for that long.
-	UpkeepTimeout = 600 * time.Millisecond
-	// upkeepRetry is the pause before an order is repeated.
-	upkeepRetry = 500 * time.Millisecond
-	// upkeepLongest after its maintenance has started, a VM without a new worker counts
+	MaintenanceTimeout = 600 * time.Millisecond
+	// maintenanceRetry is the pause before an order is repeated.
+	maintenanceRetry = 500 * time.Millisecond
+	// maxMaintenance after its maintenance has started, a VM without a new worker counts
 	// as up: the platform needs 2 s and workers list themselves within 2 s more.
-	upkeepLongest = 10 * time.Second
+	maxMaintenance = 10 * time.Second
 )
 
 // vmMaintenance is the maintenance of one VM of a wave.
-type vmUpkeep struct {
+type vmMaintenance struct {
 	vm string
 	// incarnation is the worker that is drained for the maintenance, empty before.
-	life WorkerID
+	incarnation WorkerID
 	// drainUntil is until when tasks without checkpoints may go on.
 	drainUntil time.Duration
 	// intended is set before the first order is given, and recorded: from then
 	// on the VM may be down. started is set once the platform has confirmed the order.
-	intended, begun bool
-	begunAt         time.Duration
+	intended, started bool
+	startedAt         time.Duration
 	// returned is set once the maintenance has ended, notWanted if the platform refuses it.
-	back, void bool
-	calling    bool // an order is unanswered
-	retryAt    time.Duration
+	returned, notWanted bool
+	orderPending        bool // an order is unanswered
+	retryAt             time.Duration
 	// absentSince is since when no worker of the VM is listed, 0 if one is.
 	absentSince time.Duration
 }
@@ -81,7 +81,7 @@
 // persisted is the version that the store has.
 type waveState struct {
 	Wave
-	vms []*vmUpkeep
+	vms []*vmMaintenance
 	// seenMS is when the wave was first seen, milliseconds since 1970.
 	seenMS             int64
 	succeeded          bool
@@ -105,10 +105,10 @@
 		s.seenMS = now.UnixMS
 	}
 	for _, vm := range wave.VMs {
-		u := &vmUpkeep{vm: vm}
+		u := &vmMaintenance{vm: vm}
 		if r, ok := known.VMs[vm]; ok {
-			u.life, u.intended, u.begun, u.void = IncarnationID(r.Life, r.Born), true, r.Begun, r.Void
-			u.begunAt = now.Steady
+			u.incarnation, u.intended, u.started, u.notWanted = IncarnationID(r.Incarnation, r.Born), true, r.Started, r.NotWanted
+			u.startedAt = now.Steady
 		}
 		s.vms = append(s.vms, u)
 	}
@@ -122,10 +122,10 @@
 }
 
 // tickMaintenance advances each wave as far as the state of its VMs allows.
-func (c *Core) tickUpkeep(now Instant) {
+func (c *Core) tickMaintenance(now Instant) {
 	for _, number := range slices.Sorted(maps.Keys(c.waves)) {
 		if s := c.waves[number]; !s.succeeded {
-			c.noteReturned(s, now)
+			c.recordReturned(s, now)
 			c.drainNext(s, now)
 			c.takeDown(s, now)
 			c.finishWave(s)
@@ -134,15 +134,15 @@
 }
 
 // recordReturned finds the VMs that have a new worker after their maintenance.
-func (c *Core) noteReturned(s *waveState, now Instant) {
+func (c *Core) recordReturned(s *waveState, now Instant) {
 	for _, u := range s.vms {
-		if !u.begun || u.back {
+		if !u.started || u.returned {
 			continue
 		}
 		w := c.workerOfVM(u.vm)
-		if w != nil && !w.info.ID.mayMatch(u.life) || now.Steady-u.begunAt > upkeepLongest {
-			u.back = true
-			c.trace(Decision{Event: "vm_back", Reason: u.vm, Age: now.Steady - u.begunAt})
+		if w != nil && !w.info.ID.mayMatch(u.incarnation) || now.Steady-u.startedAt > maxMaintenance {
+			u.returned = true
+			c.trace(Decision{Event: "vm_back", Reason: u.vm, Age: now.Steady - u.startedAt})
 		}
 	}
 }
@@ -151,7 +151,7 @@
 func (s *waveState) down() int {
 	n := 0
 	for _, u := range s.vms {
-		if u.intended && !u.back && !u.void {
+		if u.intended && !u.returned && !u.notWanted {
 			n++
 		}
 	}
@@ -165,7 +165,7 @@
 			continue
 		}
 		for _, u := range other.vms {
-			if u.vm == vm && u.intended && !u.back && !u.void {
+			if u.vm == vm && u.intended && !u.returned && !u.notWanted {
 				return true
 			}
 		}
@@ -176,13 +176,13 @@
 // takeDown records the intent to take empty VMs down, as many as may be down at
 // once, and gives the orders whose intent is recorded.
 func (c *Core) takeDown(s *waveState, now Instant) {
-	holdsLease := now.Steady+UpkeepTimeout < c.leaseHeldUntil
+	holdsLease := now.Steady+MaintenanceTimeout < c.leaseHeldUntil
 	if !holdsLease || now.Steady < c.leaseHeldSince+c.params.HolderGap {
 		return // another owner may give orders, or may have done so just before
 	}
 	free := s.AtOnce - s.down()
 	for _, u := range s.vms {
-		if u.begun || u.void || u.calling || now.Steady < u.retryAt || c.downElsewhere(s, u.vm) || !c.vacant(u, now) {
+		if u.started || u.notWanted || u.orderPending || now.Steady < u.retryAt || c.downElsewhere(s, u.vm) || !c.vacant(u, now) {
 			continue
 		}
 		switch {
@@ -191,9 +191,9 @@
 			u.intended = true
 			s.version++
 		case u.intended && s.persisted == s.version:
-			u.calling = true
-			c.maintenanceOrders = append(c.maintenanceOrders, UpkeepOrder{s.Number, u.vm, c.term})
-			c.trace(Decision{Event: "upkeep_ordered", Worker: u.life, Reason: u.vm})
+			u.orderPending = true
+			c.maintenanceOrders = append(c.maintenanceOrders, MaintenanceOrder{s.Number, u.vm, c.term})
+			c.trace(Decision{Event: "upkeep_ordered", Worker: u.incarnation, Reason: u.vm})
 		}
 	}
 }
@@ -206,7 +206,7 @@
 // finishWave ends a wave once the maintenance of all its VMs has ended.
 func (c *Core) finishWave(s *waveState) {
 	for _, u := range s.vms {
-		if !u.back && !u.void {
+		if !u.returned && !u.notWanted {
 			return
 		}
 	}
@@ -215,45 +215,45 @@
 	c.trace(Decision{Event: "wave_succeeded", Reason: s.describe()})
 }
 
-// TakeUpkeeps returns the orders decided since the last call.
-func (c *Core) TakeUpkeeps() []UpkeepOrder {
+// TakeMaintenanceOrders returns the orders decided since the last call.
+func (c *Core) TakeMaintenanceOrders() []MaintenanceOrder {
 	list := c.maintenanceOrders
 	c.maintenanceOrders = nil
 	return list
 }
 
 // MaintenanceDone processes the answer to a MaintenanceOrder.
-func (c *Core) UpkeepDone(o UpkeepOrder, outcome UpkeepOutcome, now Instant) {
+func (c *Core) MaintenanceDone(o MaintenanceOrder, outcome MaintenanceOutcome, now Instant) {
 	s := c.waves[o.Wave]
 	if s == nil {
 		return
 	}
 	for _, u := range s.vms {
 		if u.vm == o.VM {
-			u.calling = false
-			c.trace(Decision{Event: "upkeep_answered", Worker: u.life, Reason: u.vm + ": " + outcome.String()})
-			c.noteUpkeep(s, u, outcome, now)
+			u.orderPending = false
+			c.trace(Decision{Event: "upkeep_answered", Worker: u.incarnation, Reason: u.vm + ": " + outcome.String()})
+			c.applyMaintenanceOutcome(s, u, outcome, now)
 		}
 	}
 }
 
-func (c *Core) noteUpkeep(s *waveState, u *vmUpkeep, outcome UpkeepOutcome, now Instant) {
-	u.retryAt = now.Steady + upkeepRetry
+func (c *Core) applyMaintenanceOutcome(s *waveState, u *vmMaintenance, outcome MaintenanceOutcome, now Instant) {
+	u.retryAt = now.Steady + maintenanceRetry
 	switch outcome {
-	case UpkeepBegun:
-		u.begun, u.begunAt = true, now.Steady
+	case MaintenanceStarted:
+		u.started, u.startedAt = true, now.Steady
 		s.version++
-		if w := c.workers[u.life]; w != nil {
+		if w := c.workers[u.incarnation]; w != nil {
 			w.endedByMaintenance = true
 		}
-	case UpkeepNotWanted:
-		u.void = true
+	case MaintenanceNotWanted:
+		u.notWanted = true
 		s.version++
-		if w := c.workers[u.life]; w != nil {
+		if w := c.workers[u.incarnation]; w != nil {
 			w.cordoned = false
 		}
-	case UpkeepFenced:
-		if w := c.workers[u.life]; w != nil {
+	case MaintenanceFenced:
+		if w := c.workers[u.incarnation]; w != nil {
 			c.depose(w)
 		}
 	}
--- a/dispatch/upkeep_drain.go
+++ b/dispatch/upkeep_drain.go
@@ -8,32 +8,32 @@
 
 // Timeouts of draining VMs for maintenance.
 const (
-	// absentLong after its last worker was listed, a VM without a worker counts as
+	// absenceLimit after its last worker was listed, a VM without a worker counts as
 	// vacant: workers that live are listed again within 2 s.
-	absentLong = 6 * time.Second
-	// drainLeast and drainMost bound how long tasks without checkpoints may go on at a VM
+	absenceLimit = 6 * time.Second
+	// drainMin and drainMax bound how long tasks without checkpoints may go on at a VM
 	// that waits for its maintenance; drainSlack is reserved from the wave's time.
-	drainLeast = 300 * time.Millisecond
-	drainMost  = 4 * time.Second
+	drainMin   = 300 * time.Millisecond
+	drainMax   = 4 * time.Second
 	drainSlack = 1 * time.Second
 )
 
 // drainNext cordons as many VMs as the next step of the wave can take down, and
 // moves tasks off those that are cordoned. VMs with the fewest tasks go first.
 func (c *Core) drainNext(s *waveState, now Instant) {
-	var waiting []*vmUpkeep
+	var waiting []*vmMaintenance
 	draining := 0
 	for _, u := range s.vms {
-		if u.begun || u.void || c.downElsewhere(s, u.vm) {
+		if u.started || u.notWanted || c.downElsewhere(s, u.vm) {
 			continue
 		}
 		w := c.workerOfVM(u.vm)
-		u.noteListed(w != nil, now)
+		u.trackListed(w != nil, now)
 		switch {
 		case w == nil:
-		case w.info.ID == u.life && w.cordoned:
+		case w.info.ID == u.incarnation && w.cordoned:
 			draining++
-			c.drainForUpkeep(w, now.Steady >= u.drainUntil, now)
+			c.drainForMaintenance(w, now.Steady >= u.drainUntil, now)
 		case u.intended:
 			draining++
 			c.cordon(s, u, w, now)
@@ -41,7 +41,7 @@
 			waiting = append(waiting, u)
 		}
 	}
-	slices.SortStableFunc(waiting, func(a, b *vmUpkeep) int {
+	slices.SortStableFunc(waiting, func(a, b *vmMaintenance) int {
 		return cmp.Compare(len(c.workerOfVM(a.vm).attempts), len(c.workerOfVM(b.vm).attempts))
 	})
 	for _, u := range waiting[:min(max(s.AtOnce-draining, 0), len(waiting))] {
@@ -50,7 +50,7 @@
 }
 
 // trackListed records since when a VM has had no listed worker.
-func (u *vmUpkeep) noteListed(listed bool, now Instant) {
+func (u *vmMaintenance) trackListed(listed bool, now Instant) {
 	switch {
 	case listed:
 		u.absentSince = 0
@@ -60,12 +60,12 @@
 }
 
 // vacant reports whether nothing runs on a VM and nothing can start there: its
-// worker is cordoned and empty, or has not been listed for absentLong.
-func (c *Core) vacant(u *vmUpkeep, now Instant) bool {
+// worker is cordoned and empty, or has not been listed for absenceLimit.
+func (c *Core) vacant(u *vmMaintenance, now Instant) bool {
 	if u.absentSince > 0 {
-		return now.Steady-u.absentSince > absentLong && !c.hasTasksOn(u.vm)
+		return now.Steady-u.absentSince > absenceLimit && !c.hasTasksOn(u.vm)
 	}
-	w := c.workers[u.life]
+	w := c.workers[u.incarnation]
 	return w != nil && w.cordoned && w.empty()
 }
 
@@ -74,31 +74,31 @@
 }
 
 // cordon keeps new tasks off a worker whose VM waits for its maintenance.
-func (c *Core) cordon(s *waveState, u *vmUpkeep, w *worker, now Instant) {
-	u.life = w.info.ID
-	u.drainUntil = now.Steady + c.patience(s, now)
+func (c *Core) cordon(s *waveState, u *vmMaintenance, w *worker, now Instant) {
+	u.incarnation = w.info.ID
+	u.drainUntil = now.Steady + c.drainTimeout(s, now)
 	w.cordoned = true
 	c.trace(Decision{Event: "vm_cordoned", Worker: w.info.ID, Reason: u.vm, Age: u.drainUntil - now.Steady})
 }
 
 // drainTimeout returns how long tasks without checkpoints may go on at a VM that is
 // cordoned now: its share of the time that is left to the wave.
-func (c *Core) patience(s *waveState, now Instant) time.Duration {
+func (c *Core) drainTimeout(s *waveState, now Instant) time.Duration {
 	open := 0
 	for _, u := range s.vms {
-		if !u.begun && !u.void {
+		if !u.started && !u.notWanted {
 			open++
 		}
 	}
 	steps := max((open+s.AtOnce-1)/s.AtOnce, 1)
 	left := s.Allowed - time.Duration(now.UnixMS-s.seenMS)*time.Millisecond
-	return min(max(left/time.Duration(steps)-c.params.Maintenance-drainSlack, drainLeast), drainMost)
+	return min(max(left/time.Duration(steps)-c.params.Maintenance-drainSlack, drainMin), drainMax)
 }
 
 // drainForMaintenance moves tasks off a cordoned worker. Tasks with checkpoints move
 // at once, others only after the drain timeout; long-running ones only while enough
 // tasks of their step are available.
-func (c *Core) drainForUpkeep(w *worker, timedOut bool, now Instant) {
+func (c *Core) drainForMaintenance(w *worker, timedOut bool, now Instant) {
 	for _, a := range slices.Clone(w.attempts) {
 		if a.stopping || a.task.phase != phaseRunning {
 			continue
@@ -106,7 +106,7 @@
 		s := a.task.step.spec
 		switch {
 		case s.Lasting:
-			if a.task.mayLeave() && (timedOut || c.hasRoomElsewhere(a.task, now)) {
+			if a.task.mayStop() && (timedOut || c.hasCapacityElsewhere(a.task, now)) {
 				c.move(a, "its VM has upkeep", now)
 			}
 		case s.Checkpoints && now.Steady-a.started > moveAge, timedOut:
@@ -117,15 +117,15 @@
 
 // mayStop reports whether a long-running task may be stopped: fewer than MaxAway of
 // the others of its step may be unavailable.
-func (t *task) mayLeave() bool {
-	return t.step.spec.MaxAway == 0 || t.othersAway() < t.step.spec.MaxAway
+func (t *task) mayStop() bool {
+	return t.step.spec.MaxAway == 0 || t.othersUnavailable() < t.step.spec.MaxAway
 }
 
 // othersUnavailable returns how many other tasks of a long-running step are unavailable.
-func (t *task) othersAway() int {
+func (t *task) othersUnavailable() int {
 	unavailable := 0
 	for _, other := range t.step.tasks {
-		if other != t && !other.atWork() {
+		if other != t && !other.available() {
 			unavailable++
 		}
 	}
@@ -134,9 +134,9 @@
 
 // available reports whether a long-running task was past its start in the newest list. One
 // at a worker that has not answered since may have ended.
-func (t *task) atWork() bool {
+func (t *task) available() bool {
 	a := t.attempt
-	return a != nil && t.phase == phaseRunning && !a.stopping && a.atWork && !a.worker.unreached()
+	return a != nil && t.phase == phaseRunning && !a.stopping && a.pastStart && !a.worker.unreached()
 }
 
 // workerOfVM returns the listed worker of a VM, nil if there is none. The previous
--- a/dispatch/upkeep_record.go
+++ b/dispatch/upkeep_record.go
@@ -15,10 +15,10 @@
 
 type vmRecord struct {
 	// Incarnation and Born identify the incarnation of the worker that the maintenance ends.
-	Life  string `json:"life"`
-	Born  int64  `json:"born,omitempty"`
-	Begun bool   `json:"begun,omitempty"`
-	Void  bool   `json:"void,omitempty"`
+	Incarnation string `json:"life"`
+	Born        int64  `json:"born,omitempty"`
+	Started     bool   `json:"begun,omitempty"`
+	NotWanted   bool   `json:"void,omitempty"`
 }
 
 // WaveRecord is a wave's state as it is to be written to the store.
@@ -45,9 +45,9 @@
 func (s *waveState) record() waveRecord {
 	r := waveRecord{SeenMS: s.seenMS, VMs: map[string]vmRecord{}, Succeeded: s.succeeded}
 	for _, u := range s.vms {
-		if u.intended || u.void {
-			name, born := u.life.split()
-			r.VMs[u.vm] = vmRecord{name, born, u.begun, u.void}
+		if u.intended || u.notWanted {
+			name, born := u.incarnation.split()
+			r.VMs[u.vm] = vmRecord{name, born, u.started, u.notWanted}
 		}
 	}
 	return r
--- a/dispatch/upkeep_test.go
+++ b/dispatch/upkeep_test.go
@@ -9,7 +9,7 @@
 )
 
 // maintenanceSim simulates a platform of VMs, and an owner with its store.
-type upkeepWorld struct {
+type maintenanceSim struct {
 	t      *rapid.T
 	wave   Wave
 	core   *Core
@@ -17,24 +17,24 @@
 	now    Instant
 	record []byte // of the wave, as the store has it
 	status bool   // the wave has succeeded, as the operators see it
-	vms    map[string]*worldVM
-	calls  []UpkeepOrder // sent and not answered yet
+	vms    map[string]*simVM
+	calls  []MaintenanceOrder // sent and not answered yet
 }
 
-type worldVM struct {
-	life  int
-	down  bool // for its maintenance
-	begun bool
-	upAt  time.Duration
+type simVM struct {
+	incarnation int
+	down        bool // for its maintenance
+	started     bool
+	upAt        time.Duration
 	// listedUntil is when the entry of the incarnation that was taken down expires.
 	listedUntil time.Duration
 }
 
-const worldGap = time.Second // between orders of two owners
+const simHolderGap = time.Second // between orders of two owners
 
-func (u *upkeepWorld) takeOver() {
+func (u *maintenanceSim) takeOver() {
 	u.term++
-	u.core = New(Params{MaxTaskLease: 6 * time.Second, OwnerTTL: 3 * time.Second, OwnerHorizon: 12 * time.Second, HolderGap: worldGap}, u.term, nil)
+	u.core = New(Params{MaxTaskLease: 6 * time.Second, OwnerTTL: 3 * time.Second, OwnerHorizon: 12 * time.Second, HolderGap: simHolderGap}, u.term, nil)
 	u.calls = nil
 	u.core.Renewed(u.now.Steady)
 	u.list()
@@ -44,11 +44,11 @@
 }
 
 // list updates the core's workers and has it read their empty lists.
-func (u *upkeepWorld) list() {
+func (u *maintenanceSim) list() {
 	var infos []WorkerInfo
 	for name, vm := range u.vms {
 		if !vm.down || u.now.Steady < vm.listedUntil {
-			infos = append(infos, WorkerInfo{ID: WorkerID(fmt.Sprintf("i-%s-%d", name, vm.life)), VM: name, Address: name, Service: "svc", CPUMilli: 1000, MemoryMiB: 1000})
+			infos = append(infos, WorkerInfo{ID: WorkerID(fmt.Sprintf("i-%s-%d", name, vm.incarnation)), VM: name, Address: name, Service: "svc", CPUMilli: 1000, MemoryMiB: 1000})
 		}
 	}
 	u.core.SetWorkers(infos, u.now)
@@ -63,21 +63,21 @@
 	}
 }
 
-func (u *upkeepWorld) advance(d time.Duration) {
+func (u *maintenanceSim) advance(d time.Duration) {
 	u.now.Steady += d
 	for _, vm := range u.vms {
 		if vm.down && u.now.Steady >= vm.upAt {
 			vm.down = false
-			vm.life++
+			vm.incarnation++
 		}
 	}
 	u.core.Renewed(u.now.Steady)
 	u.list()
 	u.core.Tick(u.now)
-	u.calls = append(u.calls, u.core.TakeUpkeeps()...)
+	u.calls = append(u.calls, u.core.TakeMaintenanceOrders()...)
 }
 
-func (u *upkeepWorld) persist() {
+func (u *maintenanceSim) persist() {
 	r, err := u.core.DirtyWave()
 	if err != nil {
 		u.t.Fatal(err)
@@ -89,7 +89,7 @@
 	if r.Succeeded && !u.status {
 		u.status = true
 		for name, vm := range u.vms {
-			if !vm.begun {
+			if !vm.started {
 				u.t.Fatalf("the wave is recorded as succeeded, %s had no maintenance", name)
 			}
 		}
@@ -98,9 +98,9 @@
 }
 
 // carryOut has the platform take a VM down, unless it has done so before.
-func (u *upkeepWorld) carryOut(o UpkeepOrder) {
+func (u *maintenanceSim) carryOut(o MaintenanceOrder) {
 	vm := u.vms[o.VM]
-	if vm.begun {
+	if vm.started {
 		return
 	}
 	down := 0
@@ -112,38 +112,38 @@
 	if down >= u.wave.AtOnce {
 		u.t.Fatalf("%s is taken down while %d others are", o.VM, down)
 	}
-	vm.begun, vm.down = true, true
+	vm.started, vm.down = true, true
 	vm.upAt = u.now.Steady + 5*time.Second
 	vm.listedUntil = u.now.Steady + time.Duration(rapid.IntRange(0, 4).Draw(u.t, "seconds listed"))*time.Second
 }
 
-func (u *upkeepWorld) answer(carried, answered bool) {
+func (u *maintenanceSim) answer(carried, answered bool) {
 	if len(u.calls) == 0 {
 		return
 	}
 	o := u.calls[0]
 	u.calls = u.calls[1:]
-	outcome := UpkeepUnknown
+	outcome := MaintenanceUnknown
 	if carried {
 		u.carryOut(o)
-		outcome = UpkeepBegun
+		outcome = MaintenanceStarted
 	}
 	if !answered {
-		outcome = UpkeepUnknown
+		outcome = MaintenanceUnknown
 	}
-	u.core.UpkeepDone(o, outcome, u.now)
+	u.core.MaintenanceDone(o, outcome, u.now)
 }
 
 // TestWavesKeepTheirBoundsAcrossTakeovers: whichever orders and answers are lost and whenever owners
 // change, at most AtOnce VMs are down for the wave, it succeeds only once all have had their
 // maintenance, and it ends.
-func TestWavesKeepTheirBoundsOverTakeovers(t *testing.T) {
+func TestWavesKeepTheirBoundsAcrossTakeovers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		u := &upkeepWorld{t: t, vms: map[string]*worldVM{}, now: Instant{Steady: time.Second}}
+		u := &maintenanceSim{t: t, vms: map[string]*simVM{}, now: Instant{Steady: time.Second}}
 		u.wave = Wave{Number: 1, Allowed: 20 * time.Second, AtOnce: rapid.IntRange(1, 3).Draw(t, "at once")}
 		for i := range rapid.IntRange(1, 6).Draw(t, "VMs") {
 			name := fmt.Sprintf("m%d", i)
-			u.vms[name] = &worldVM{}
+			u.vms[name] = &simVM{}
 			u.wave.VMs = append(u.wave.VMs, name)
 		}
 		u.takeOver()
@@ -175,13 +175,13 @@
 }
 
 // An owner gives no order for a VM before the previous owner has certainly stopped giving any.
-func TestUpkeepWaitsForThePreviousOwner(t *testing.T) {
+func TestMaintenanceWaitsForPreviousOwner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		u := &upkeepWorld{t: t, vms: map[string]*worldVM{"m0": {}}, now: Instant{Steady: time.Minute}}
+		u := &maintenanceSim{t: t, vms: map[string]*simVM{"m0": {}}, now: Instant{Steady: time.Minute}}
 		u.wave = Wave{Number: 1, VMs: []string{"m0"}, AtOnce: 1}
 		u.takeOver()
 		takenOverAt := u.now.Steady
-		for u.now.Steady < takenOverAt+worldGap {
+		for u.now.Steady < takenOverAt+simHolderGap {
 			if len(u.calls) > 0 {
 				t.Fatalf("an order %v after the takeover", u.now.Steady-takenOverAt)
 			}
@@ -195,10 +195,10 @@
 			t.Fatalf("%d orders", len(u.calls))
 		}
 		u.now.Steady += 4 * time.Second // not renewed: another owner may be there
-		u.core.UpkeepDone(u.calls[0], UpkeepBusy, u.now)
-		u.now.Steady += 2 * upkeepRetry
+		u.core.MaintenanceDone(u.calls[0], MaintenanceBusy, u.now)
+		u.now.Steady += 2 * maintenanceRetry
 		u.core.Tick(u.now)
-		if n := len(u.core.TakeUpkeeps()); n != 0 {
+		if n := len(u.core.TakeMaintenanceOrders()); n != 0 {
 			t.Fatalf("%d orders while the lease is not held for certain", n)
 		}
 	})
@@ -206,7 +206,7 @@
 
 // Long-running tasks leave a VM in turn, at most MaxAway of a step at a time, and the VM is taken
 // down only when it is empty.
-func TestUpkeepSparesLastingTasks(t *testing.T) {
+func TestMaintenanceMovesLongRunningTasksInTurn(t *testing.T) {
 	now := Instant{Steady: time.Second}
 	core := leasedCore(Params{}, 1, now)
 	var infos []WorkerInfo
@@ -239,7 +239,7 @@
 			core.PollDone(PollRequest{Worker: id}, PollReply{ClockMS: clock, Running: rows[id]}, OutcomeOK, now)
 		}
 		core.Tick(now)
-		if len(core.TakeUpkeeps()) > 0 {
+		if len(core.TakeMaintenanceOrders()) > 0 {
 			if len(rows["w0"]) > 0 {
 				t.Fatalf("taken down with %d tasks", len(rows["w0"]))
 			}
@@ -278,7 +278,7 @@
 // wave brought does not count as its return from the second.
 func TestOverlappingWavesTakeTurnsAtAVM(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		u := &upkeepWorld{t: t, vms: map[string]*worldVM{"m0": {}, "m1": {}}, now: Instant{Steady: time.Minute}}
+		u := &maintenanceSim{t: t, vms: map[string]*simVM{"m0": {}, "m1": {}}, now: Instant{Steady: time.Minute}}
 		u.wave = Wave{Number: 1, VMs: []string{"m0", "m1"}, AtOnce: 1}
 		u.takeOver()
 		second := Wave{Number: 2, VMs: []string{"m0", "m1"}, AtOnce: 1}
@@ -298,7 +298,7 @@
 				}
 				vm.down, vm.upAt = true, u.now.Steady+2*time.Second
 				taken[fmt.Sprint(o.Wave, o.VM)] = u.now.Steady
-				u.core.UpkeepDone(o, UpkeepBegun, u.now)
+				u.core.MaintenanceDone(o, MaintenanceStarted, u.now)
 			}
 			u.calls = nil
 		}
@@ -309,9 +309,9 @@
 }
 
 // TestFencedMaintenanceEndsTheTerm: an owner that learns of a higher term decides nothing more.
-func TestFencedUpkeepEndsTheTerm(t *testing.T) {
+func TestFencedMaintenanceEndsTheTerm(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		u := &upkeepWorld{t: t, vms: map[string]*worldVM{"m0": {}}, now: Instant{Steady: time.Minute}}
+		u := &maintenanceSim{t: t, vms: map[string]*simVM{"m0": {}}, now: Instant{Steady: time.Minute}}
 		u.wave = Wave{Number: 1, VMs: []string{"m0"}, AtOnce: 1}
 		u.takeOver()
 		for range 100 {
@@ -321,7 +321,7 @@
 		if len(u.calls) == 0 {
 			t.Fatal("no order")
 		}
-		u.core.UpkeepDone(u.calls[0], UpkeepFenced, u.now)
+		u.core.MaintenanceDone(u.calls[0], MaintenanceFenced, u.now)
 		if !u.core.Deposed() {
 			t.Error("the owner is not deposed")
 		}
--- a/node/feed.go
+++ b/node/feed.go
@@ -76,7 +76,7 @@
 func (o *owner) intakeTaken(rev int64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.core.IntakeTaken(rev)
+	o.core.IntakeProcessed(rev)
 }
 
 func (o *owner) takeIn(events []kv.Event) {
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -89,11 +89,11 @@
 		return late.Seconds()
 	})
 	n.ownerGauge("leverstile_kept_cores", func(c *dispatch.Core) float64 {
-		kept, _ := c.KeptCPU()
+		kept, _ := c.ReservedCPU()
 		return float64(kept) / milliPerCore
 	})
 	n.ownerGauge("leverstile_short_demand_cores", func(c *dispatch.Core) float64 {
-		_, demand := c.KeptCPU()
+		_, demand := c.ReservedCPU()
 		return float64(demand) / milliPerCore
 	})
 	for _, reason := range dispatch.ExclusionNames() {
--- a/node/removal.go
+++ b/node/removal.go
@@ -123,5 +123,5 @@
 // removed tells the core that the records of the first n of these are gone, from a
 // revision of the store on.
 func (o *owner) removed(n int, revision int64) {
-	o.locked(func(c *dispatch.Core, _ dispatch.Instant) { c.Removed(n, revision) })
+	o.locked(func(c *dispatch.Core, _ dispatch.Instant) { c.RecordsRemoved(n, revision) })
 }
--- a/node/store.go
+++ b/node/store.go
@@ -44,7 +44,7 @@
 
 // VMs gives orders for VMs to the platform.
 type VMs interface {
-	BeginUpkeep(ctx context.Context, o dispatch.UpkeepOrder) dispatch.UpkeepOutcome
+	BeginUpkeep(ctx context.Context, o dispatch.MaintenanceOrder) dispatch.MaintenanceOutcome
 }
 
 // Ports are what a node needs of the platform.
--- a/node/upkeep.go
+++ b/node/upkeep.go
@@ -82,15 +82,15 @@
 }
 
 // beginUpkeep makes one call for a VM and takes in the answer.
-func (o *owner) beginUpkeep(order dispatch.UpkeepOrder) {
-	outcome := dispatch.UpkeepUnknown
+func (o *owner) beginUpkeep(order dispatch.MaintenanceOrder) {
+	outcome := dispatch.MaintenanceUnknown
 	if o.node.vms != nil && o.mayAct(o.ctx) {
 		outcome = o.node.vms.BeginUpkeep(o.ctx, order)
 	}
 	if o.ctx.Err() != nil {
 		return
 	}
-	o.locked(func(c *dispatch.Core, now dispatch.Instant) { c.UpkeepDone(order, outcome, now) })
+	o.locked(func(c *dispatch.Core, now dispatch.Instant) { c.MaintenanceDone(order, outcome, now) })
 }
 
 // waveOps returns the writes of a wave's record and of what operators are told.
