--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -179,7 +179,7 @@
 // BenchmarkPassAfterCrashWave measures a pass over 600 suspect tasks of 300 steps, as a wave of
 // crashes leaves them at 490 workers: 13.0 ms if the workers are scanned for each suspect, 5.9 ms if
 // the result that they share is kept for the pass.
-func BenchmarkPassAfterAWave(b *testing.B) {
+func BenchmarkPassAfterCrashWave(b *testing.B) {
 	const steps, workers = 300, 490
 	for b.Loop() {
 		b.StopTimer()
--- a/dispatch/core_test.go
+++ b/dispatch/core_test.go
@@ -36,7 +36,7 @@
 			want = state == job.Failed || s.cancelled[id] > 0 && state == job.Cancelled
 		}
 		if !want && state == job.Failed && s.mayBeGivenUp(id) {
-			t.Logf("job %s was given up: a task of it ran at %d workers that crashed", id, s.mostCrashed(id))
+			t.Logf("job %s was given up: a task of it ran at %d workers that crashed", id, s.maxCrashesOfTask(id))
 			want = true
 		}
 		if !known || !want {
--- a/dispatch/faults_test.go
+++ b/dispatch/faults_test.go
@@ -26,7 +26,7 @@
 
 // refusingWorkers makes workers refuse starts, one at a time and for a while.
 func refusingWorkers(s *sim) {
-	s.refuseShare, s.noRoomShare = 0.05, 0.03
+	s.refuseShare, s.noCapacityShare = 0.05, 0.03
 	s.extra = func(s *sim) {
 		s.workers[s.rng.IntN(len(s.workers))].unwellUntil = s.now + s.within(3*time.Second)
 	}
@@ -41,7 +41,7 @@
 	s.longPolls, s.lateAnswerShare, s.delayShare = true, 0.15, 0.02
 }
 
-func entriesComeAndGo(s *sim) {
+func changingWorkerEntries(s *sim) {
 	s.oldEntries = true
 	s.extra = func(s *sim) {
 		if s.rng.IntN(4) == 0 {
@@ -67,13 +67,13 @@
 	s.startGapShare = 0.5
 	s.extra = func(s *sim) {
 		o := s.owner
-		o.cutStore = true
-		s.later(4*time.Second, func() { o.cutStore = false })
+		o.storeUnreachable = true
+		s.later(4*time.Second, func() { o.storeUnreachable = false })
 	}
 }
 
 func handovers(s *sim) {
-	s.delayShare, s.quietHandover = 0.02, true
+	s.delayShare, s.stopBeforeHandover = 0.02, true
 	s.extra = func(s *sim) {
 		if s.rng.IntN(3) == 0 {
 			s.handOver()
@@ -81,7 +81,7 @@
 	}
 }
 
-func lateNews(s *sim) { s.lateWatches = true }
+func lateWatches(s *sim) { s.lateWatches = true }
 
 func rereads(s *sim) {
 	s.lateWatches = true
@@ -90,7 +90,7 @@
 }
 
 func movedTasks(s *sim) {
-	s.lasting, s.slowStops, s.delayShare = true, true, 0.02
+	s.longRunning, s.slowStops, s.delayShare = true, true, 0.02
 	s.extra = func(s *sim) {
 		if s.rng.IntN(2) == 0 {
 			s.drain(s.rng.IntN(len(s.workers)))
@@ -101,7 +101,7 @@
 func idleWorkers(s *sim) { s.idle(10 * time.Minute) }
 
 func gangsLoseMembers(s *sim) {
-	s.gangJobs, s.slowStops, s.longPolls, s.refuseShare, s.noRoomShare, s.delayShare = true, true, true, 0.02, 0.02, 0.02
+	s.gangJobs, s.slowStops, s.longPolls, s.refuseShare, s.noCapacityShare, s.delayShare = true, true, true, 0.02, 0.02, 0.02
 	s.extra = func(s *sim) {
 		if s.rng.IntN(3) == 0 {
 			s.restart(1 + s.rng.IntN(2))
@@ -109,11 +109,11 @@
 	}
 }
 
-func allAtOnce(s *sim) {
+func allFaults(s *sim) {
 	brokenConnections(s)
 	lateAnswers(s)
-	lateNews(s)
-	s.oldEntries, s.lasting, s.gangJobs, s.slowStops, s.quietHandover, s.notSentShare = true, true, true, true, true, 0.02
+	lateWatches(s)
+	s.oldEntries, s.longRunning, s.gangJobs, s.slowStops, s.stopBeforeHandover, s.notSentShare = true, true, true, true, true, 0.02
 	s.breakShare, s.delayShare = 0.01, 0.01
 	s.extra = func(s *sim) {
 		i := s.rng.IntN(len(s.workers))
@@ -140,7 +140,7 @@
 	return []faultCase{
 		{
 			name: "workers refuse starts", setup: refusingWorkers, played: func(s *sim) int { return s.refused },
-			without: "a refusal after an unanswered copy proves nothing", unguard: func(s *sim) { s.forgetTries, s.delayShare = true, 0.1 },
+			without: "a refusal after an unanswered copy proves nothing", unguard: func(s *sim) { s.ignoreTries, s.delayShare = true, 0.1 },
 		},
 		{
 			name: "connections break before the answer", setup: brokenConnections, played: func(s *sim) int { return s.refused },
@@ -151,7 +151,7 @@
 			without: "a list that is older than a run says nothing of it", unguard: func(s *sim) { s.believeOldLists = true },
 		},
 		{
-			name: "entries of workers come and go", setup: entriesComeAndGo, played: func(s *sim) int { return s.listedLate },
+			name: "entries of workers come and go", setup: changingWorkerEntries, played: func(s *sim) int { return s.listedLate },
 			without: "a worker that is not listed may live", unguard: func(s *sim) { s.believeEntries = true },
 		},
 		{
@@ -160,14 +160,14 @@
 		},
 		{
 			name: "starts are carried out after their check", setup: startsAfterGaps, played: func(s *sim) int { return s.gaps },
-			without: "the first list of a takeover is asked for with a wait", unguard: func(s *sim) { s.hastyLists = true },
+			without: "the first list of a takeover is asked for with a wait", unguard: func(s *sim) { s.skipPollWait = true },
 		},
 		{
 			name: "owners hand over", setup: handovers, played: func(s *sim) int { return s.handovers },
-			without: "an owner stops before it ends its lease", unguard: func(s *sim) { s.quietHandover, s.extra = false, (*sim).handOver },
+			without: "an owner stops before it ends its lease", unguard: func(s *sim) { s.stopBeforeHandover, s.extra = false, (*sim).handOver },
 		},
 		{
-			name: "owners hear of jobs late and twice", setup: lateNews, played: func(*sim) int { return 1 },
+			name: "owners hear of jobs late and twice", setup: lateWatches, played: func(*sim) int { return 1 },
 			without: "a replaced owner takes in no new jobs", unguard: func(s *sim) { s.params.OwnerTTL = s.params.OwnerHorizon },
 		},
 		{
@@ -179,7 +179,7 @@
 			without: "a list that is older than a run says nothing of it", unguard: func(s *sim) { s.believeOldLists = true },
 		},
 		{
-			name: "all of these at once", setup: allAtOnce, played: func(s *sim) int { return s.refused * s.listedLate * s.restarts },
+			name: "all of these at once", setup: allFaults, played: func(s *sim) int { return s.refused * s.listedLate * s.restarts },
 			without: "workers check the term", unguard: func(s *sim) { s.noFence = true },
 			inShort: true,
 		},
@@ -193,7 +193,7 @@
 		},
 		{
 			name: "jobs ask for places and times", setup: shapesOfJobs, played: func(s *sim) int { return s.shaped },
-			without: "the label is heeded", unguard: func(s *sim) { s.forgetAsked = forgetLabels },
+			without: "the label is heeded", unguard: func(s *sim) { s.alterSpec = dropLabels },
 		},
 		{
 			name: "workers were idle for long", setup: idleWorkers, played: func(*sim) int { return 1 },
--- a/dispatch/fuzz_test.go
+++ b/dispatch/fuzz_test.go
@@ -37,9 +37,9 @@
 		if s.rng.IntN(100) == 0 {
 			s.fault()
 		}
-		if s.lasting && s.rng.IntN(100) == 0 {
+		if s.longRunning && s.rng.IntN(100) == 0 {
 			id++
-			s.submitLasting(id)
+			s.submitLongRunning(id)
 		}
 		if s.gangJobs && s.rng.IntN(60) == 0 {
 			id++
@@ -54,7 +54,7 @@
 			s.extra(s)
 		}
 	}
-	s.calm()
+	s.endFaults()
 	s.run(settleFor + s.settleMore)
 	return s
 }
@@ -76,8 +76,8 @@
 		s.later(time.Duration(500+s.rng.IntN(6000))*time.Millisecond, func() { o.paused = false })
 	case 4: // the owner is cut off from the store and continues
 		o := s.owner
-		o.cutStore = true
-		s.later(time.Duration(500+s.rng.IntN(9000))*time.Millisecond, func() { o.cutStore = false })
+		o.storeUnreachable = true
+		s.later(time.Duration(500+s.rng.IntN(9000))*time.Millisecond, func() { o.storeUnreachable = false })
 	case 5:
 		s.storeDown = true
 		s.later(time.Duration(500+s.rng.IntN(8000))*time.Millisecond, func() { s.storeDown = false })
@@ -107,13 +107,13 @@
 		s.renewalsLost = s.now + time.Duration(1000+s.rng.IntN(6000))*time.Millisecond
 	case 7: // the owner dies and its lease ends at once; only the running tasks remain
 		s.owner.dead = true
-		s.owner.leadEnd = s.now
+		s.owner.leaseEnd = s.now
 	}
 }
 
 // endFaults ends all faults.
-func (s *sim) calm() {
-	s.calmMore()
+func (s *sim) endFaults() {
+	s.endMoreFaults()
 	s.lossShare, s.failShare, s.storeDown = 0, 0, false
 	for dc := range s.evacuated {
 		s.setEvacuated(dc, false)
@@ -121,7 +121,7 @@
 	for _, w := range s.workers {
 		w.cut, w.cutAbove = false, 0
 	}
-	s.owner.cutStore, s.owner.paused, s.owner.lag = false, false, 0
+	s.owner.storeUnreachable, s.owner.paused, s.owner.lag = false, false, 0
 }
 
 func TestFaults(t *testing.T) {
@@ -148,7 +148,7 @@
 // that are all reachable.
 func lateOwnerRun(seed uint64, unaware bool) *sim {
 	s := newSim(seed, 4+int(seed%4))
-	s.strict, s.unawareLate = true, unaware
+	s.strict, s.ignoreLateness = true, unaware
 	id := 0
 	for s.now < 40*time.Second && len(s.oracle.broken) == 0 {
 		s.step()
@@ -161,7 +161,7 @@
 			s.later(time.Duration(3000+s.rng.IntN(9000))*time.Millisecond, func() { s.owner.lag = 0 })
 		}
 	}
-	s.calm()
+	s.endFaults()
 	s.run(60 * time.Second)
 	return s
 }
@@ -169,7 +169,7 @@
 // TestLateOwnerRestartsNothing checks that an owner without processor time treats no worker as
 // silent and starts no task again. An owner that ignores its lateness does, which shows that the
 // test can fail.
-func TestLateOwnerStartsNothingAgain(t *testing.T) {
+func TestLateOwnerRestartsNothing(t *testing.T) {
 	const seeds = 20
 	for seed := range uint64(seeds) {
 		s := lateOwnerRun(seed, false)
@@ -200,7 +200,7 @@
 		{"workers do not check the term", func(s *sim) { s.noFence = true }},
 		{"what may run at silent workers is not handed on", func(s *sim) { s.dropTasks = true }},
 		{"a new owner does not know what is evacuated", func(s *sim) { s.blindTakeover = true }},
-		{"evacuations are not heard of", func(s *sim) { s.unevacuated = true }},
+		{"evacuations are not heard of", func(s *sim) { s.hideEvacuations = true }},
 		{"leases are taken for shorter than they are", func(s *sim) { s.shortLease = true }},
 	} {
 		t.Run(m.name, func(t *testing.T) {
@@ -218,11 +218,11 @@
 // mutationSeeds is the maximum number of seeds tried to detect a removed safeguard.
 const mutationSeeds = 400
 
-// budgetRun simulates tasks that often fail and have two attempts, with owners that are cut off from
+// retryBudgetRun simulates tasks that often fail and have two attempts, with owners that are cut off from
 // the store until they die, and workers that the next owner reaches late.
-func budgetRun(seed uint64, hasty bool) *sim {
+func retryBudgetRun(seed uint64, hasty bool) *sim {
 	s := newSim(seed, 4+int(seed%4))
-	s.maxAttempts, s.failShare, s.hastyRetry = 2, 0.35, hasty
+	s.maxAttempts, s.failShare, s.retryBeforeLists = 2, 0.35, hasty
 	id := 0
 	for s.now < 40*time.Second && len(s.oracle.broken) == 0 {
 		s.step()
@@ -232,13 +232,13 @@
 		}
 		if s.rng.IntN(150) == 0 {
 			o, w := s.owner, s.workers[s.rng.IntN(len(s.workers))]
-			o.cutStore = true
+			o.storeUnreachable = true
 			w.cutAbove = o.core.Term()
 			s.later(simTTL, func() { o.dead = true })
 			s.later(time.Duration(3000+s.rng.IntN(3000))*time.Millisecond, func() { w.cutAbove = 0 })
 		}
 	}
-	s.calm()
+	s.endFaults()
 	s.run(30 * time.Second)
 	return s
 }
@@ -248,13 +248,13 @@
 // order. An owner that does not wait for workers that have not answered breaks that.
 func TestFailuresOfThePreviousOwnerCount(t *testing.T) {
 	for n := range max(*simSeeds/3, 1) {
-		s := budgetRun(*simFirst+n, false)
+		s := retryBudgetRun(*simFirst+n, false)
 		for _, b := range s.oracle.broken {
 			t.Fatalf("seed %d: %s", *simFirst+n, b)
 		}
 	}
 	for seed := range uint64(mutationSeeds) {
-		if s := budgetRun(seed, true); len(s.oracle.broken) > 0 {
+		if s := retryBudgetRun(seed, true); len(s.oracle.broken) > 0 {
 			t.Logf("seed %d: %s", seed, s.oracle.broken[0])
 			return
 		}
@@ -264,12 +264,12 @@
 
 // failingWorkersRun simulates jobs of 30 tasks with two attempts each while an eighth of the workers
 // fail all their runs; it returns how many jobs failed.
-func badWorkersRun(t *testing.T, seed uint64) (failed, jobs int) {
+func failingWorkersRun(t *testing.T, seed uint64) (failed, jobs int) {
 	s := newSim(seed, 40)
 	s.maxAttempts, s.failShare = 2, 0.01
 	s.run(time.Second)
 	for i := range 5 {
-		s.workers[8*i].bad = true
+		s.workers[8*i].failsAll = true
 	}
 	for tick := range 1000 { // 20 s
 		s.step()
@@ -292,10 +292,10 @@
 
 // TestRetriesAvoidFailingWorkers guards against jobs that fail because a task's second attempt goes
 // to another worker that is known to fail its tasks.
-func TestRetriesGoToWorkersThatDoWell(t *testing.T) {
+func TestRetriesAvoidFailingWorkers(t *testing.T) {
 	failed, jobs := 0, 0
 	for seed := range uint64(6) {
-		f, n := badWorkersRun(t, seed)
+		f, n := failingWorkersRun(t, seed)
 		failed, jobs = failed+f, jobs+n
 	}
 	t.Logf("%d of %d jobs failed", failed, jobs)
--- a/dispatch/growth_test.go
+++ b/dispatch/growth_test.go
@@ -61,7 +61,7 @@
 }
 
 // silenceDataCentre has all workers of a data centre leave polls unanswered while the others answer.
-func (f *growthFleet) silence(centre string) {
+func (f *growthFleet) silenceDataCentre(centre string) {
 	f.t.Helper()
 	f.now.Steady += time.Second
 	for _, info := range f.list {
@@ -82,10 +82,10 @@
 // TestTickWithLostDataCentreScansEachWorkerOnce guards against an owner that is late for as long as a
 // data centre is lost, because it determines for each silent worker whether it reaches most workers:
 // with 1,000 of 6,000 workers silent, a tick then scans workers six million times.
-func TestATickWithALostDataCentreLooksAtEachWorkerOnce(t *testing.T) {
+func TestTickWithLostDataCentreScansEachWorkerOnce(t *testing.T) {
 	for _, workers := range fleetSizes() {
 		f := newGrowthFleet(t, workers)
-		f.silence("1")
+		f.silenceDataCentre("1")
 		f.now.Steady += 100 * time.Millisecond
 		before := f.core.work.reachChecks
 		f.core.Tick(f.now)
@@ -97,7 +97,7 @@
 
 // TestStoredWriteScansOnlyWorkersWithEnds guards against a cost of each stored write of progress that
 // grows with all workers instead of those whose ends wait for it.
-func TestAStoredWriteLooksAtWorkersWithEnds(t *testing.T) {
+func TestStoredWriteScansOnlyWorkersWithEnds(t *testing.T) {
 	for _, workers := range fleetSizes() {
 		f := newGrowthFleet(t, workers)
 		records, err := f.core.Records(25)
@@ -118,7 +118,7 @@
 // TestWorkerChangeWritesOneRosterPart guards against writes that grow with the number of workers when
 // one of them starts to drain or joins. In one value, a list of more than some 10,000 workers exceeds
 // the store's limit, so that nothing starts; a shorter one costs megabytes for each change.
-func TestAChangeOfOneWorkerWritesOnePart(t *testing.T) {
+func TestWorkerChangeWritesOneRosterPart(t *testing.T) {
 	const most = 10_000 // bytes
 	for _, workers := range fleetSizes() {
 		f := newGrowthFleet(t, workers)
--- a/dispatch/idle_test.go
+++ b/dispatch/idle_test.go
@@ -21,7 +21,7 @@
 	timed.Occurrences, timed.FirstDueMS = 1, (s.now + simHorizon - 300*time.Millisecond).Milliseconds()
 	s.submit(timed)
 	s.run(40 * time.Millisecond)
-	o.cutStore = true
+	o.storeUnreachable = true
 	for _, w := range s.workers[:2] {
 		w.cutAbove = o.core.Term()
 	}
--- a/dispatch/order_test.go
+++ b/dispatch/order_test.go
@@ -9,23 +9,23 @@
 
 // backlogStretch times the duration of their longest chain of steps is the objective of the
 // patient jobs in the test.
-const crowdStretch = 4
+const backlogStretch = 4
 
 // largestJobTasks is the most tasks that a step of these jobs has: a quarter of the capacity.
-const largestCrowd = 20
+const largestJobTasks = 20
 
 // backlogRun simulates patient jobs that ask for 1.5 times the capacity, and returns how long each
 // job took, by its number of tasks per step.
-func crowdRun(t *testing.T, seed uint64) map[int][]time.Duration {
+func backlogRun(t *testing.T, seed uint64) map[int][]time.Duration {
 	const (
 		workers  = 10 // of 4 cores: 80 tasks of half a core, 55 of 1.45 s end in a second
 		offered  = 1.5 * 55
 		length   = 20 * time.Second
 		stepSize = 20 * time.Millisecond
 	)
-	sizes := []int{4, 6, 8, 8, 10, largestCrowd}
+	sizes := []int{4, 6, 8, 8, 10, largestJobTasks}
 	s := newSim(seed, workers)
-	s.stretch = crowdStretch
+	s.stretch = backlogStretch
 	s.run(time.Second)
 	begin, submittedAt, pending := s.now, map[string]time.Duration{}, 0.0
 	ended := map[string]time.Duration{}
@@ -69,8 +69,8 @@
 
 // backlogShares returns which shares of a list of durations are on time, and within the time in
 // which the results are still of use to their customers.
-func crowdShares(list []time.Duration) (onTime, served float64) {
-	const objective = crowdStretch * 2 * 1450 * time.Millisecond
+func backlogShares(list []time.Duration) (onTime, served float64) {
+	const objective = backlogStretch * 2 * 1450 * time.Millisecond
 	for _, d := range list {
 		if d <= objective {
 			onTime++
@@ -87,18 +87,18 @@
 // late. Ordered by least slack, 0.42 of the jobs are on time; ordered by least remaining work, 0.72.
 // The largest jobs wait longer (0.31 on time, 0.38 by least slack) but must not starve: they end in
 // time to be of use as often as the others.
-func TestCrowdOfPatientJobsIsServedInParts(t *testing.T) {
+func TestBacklogOfPatientJobsIsServedPartly(t *testing.T) {
 	var all, largest []time.Duration
 	for seed := range uint64(3) {
-		for size, list := range crowdRun(t, seed) {
+		for size, list := range backlogRun(t, seed) {
 			all = append(all, list...)
-			if size == largestCrowd {
+			if size == largestJobTasks {
 				largest = append(largest, list...)
 			}
 		}
 	}
-	onTime, served := crowdShares(all)
-	largestOnTime, largestServed := crowdShares(largest)
+	onTime, served := backlogShares(all)
+	largestOnTime, largestServed := backlogShares(largest)
 	t.Logf("%d jobs, %.2f on time, %.2f still of use; of the %d largest %.2f, %.2f", len(all), onTime, served, len(largest), largestOnTime, largestServed)
 	if onTime < 0.6 {
 		t.Errorf("%.2f of the jobs are on time", onTime)
--- a/dispatch/overload.go
+++ b/dispatch/overload.go
@@ -30,7 +30,7 @@
 const (
 	// latenessDecay is the factor by which an observed lateness decays each tick: a
 	// tenth is left after a second.
-	lateFading = 0.8
+	latenessDecay = 0.8
 	// Lateness from which each step applies. On the smallest VM an owner is 0 to 3 ms
 	// late before its load arrives and 21 ms as it arrives; an urgent job's objective is
 	// some 300 ms, and a call to a worker times out after 400 ms.
@@ -39,25 +39,25 @@
 	lateNoStarts    = 300 * time.Millisecond
 	// maxLateness bounds what one late tick counts, so that an owner that was frozen
 	// for seconds starts tasks again 0.4 s after it has caught up.
-	mostLate = 2 * lateNoStarts
+	maxLateness = 2 * lateNoStarts
 	// lateInconclusive is the lateness from which a worker's silence proves nothing:
 	// its answer may have arrived without the owner having processed it.
-	lateDoubt = 100 * time.Millisecond
+	lateInconclusive = 100 * time.Millisecond
 )
 
 // overload tracks the owner's own lateness and the step of load shedding that follows from it.
 type overload struct {
-	late     time.Duration
-	load     Load
-	doubtful time.Duration // when the lateness last reached lateInconclusive
+	late           time.Duration
+	load           Load
+	inconclusiveAt time.Duration // when the lateness last reached lateInconclusive
 }
 
 // ObserveLateness records, once a tick, how late the process does the work that is due.
-func (c *Core) Late(late time.Duration, now Instant) {
+func (c *Core) ObserveLateness(late time.Duration, now Instant) {
 	o := &c.overload
-	o.late = max(min(late, mostLate), time.Duration(float64(o.late)*lateFading))
-	if late >= lateDoubt {
-		o.doubtful = now.Steady
+	o.late = max(min(late, maxLateness), time.Duration(float64(o.late)*latenessDecay))
+	if late >= lateInconclusive {
+		o.inconclusiveAt = now.Steady
 	}
 	if load := loadAt(o.late); load != o.load {
 		o.load = load
@@ -82,6 +82,6 @@
 func (c *Core) Load() (Load, time.Duration) { return c.overload.load, c.overload.late }
 
 // allowsStart reports whether tasks of a step may be started at the present load.
-func (o *overload) starts(s *stepRun) bool {
+func (o *overload) allowsStart(s *stepRun) bool {
 	return o.load < LoadNoFills || o.load < LoadNoStarts && !s.spec.Fills
 }
--- a/dispatch/overload_test.go
+++ b/dispatch/overload_test.go
@@ -8,7 +8,7 @@
 // TestOverloadShedsWorkInOrder checks that a late owner gives up readings first, then starts of
 // fill tasks, then all starts, but never leases and stops, and that it resumes them once it is on
 // time again.
-func TestOverloadGivesUpInOrder(t *testing.T) {
+func TestOverloadShedsWorkInOrder(t *testing.T) {
 	for _, x := range []struct {
 		late           time.Duration
 		wait           time.Duration
@@ -36,7 +36,7 @@
 		busy := core.jobs[serving.ID].steps[0].tasks[0].attempt.worker.info.ID
 		core.PollDone(core.PlanPoll(busy, now).Order, PollReply{ClockMS: 1001, Running: running}, OutcomeOK, now)
 
-		core.Late(x.late, now)
+		core.ObserveLateness(x.late, now)
 		for id := 3; id <= 4; id++ {
 			spec := simpleJob(id, 1)
 			spec.Steps[0].Fills, spec.Steps[0].CPUMilli = id == 4, 100
@@ -59,7 +59,7 @@
 			t.Errorf("owner %v late: %d orders after a cancellation, want two stops", x.late, len(orders))
 		}
 		for range 20 {
-			core.Late(0, now)
+			core.ObserveLateness(0, now)
 		}
 		if load, _ := core.Load(); load != LoadNormal {
 			t.Errorf("owner %v late: load is %v after two seconds on time", x.late, load)
@@ -69,7 +69,7 @@
 
 // TestLateOwnerDoesNotRestartTasksOfSilentWorkers guards against a late owner that takes a worker's
 // leases for expired and starts its tasks again before it has read the list with their ends.
-func TestLateOwnerConcludesNothingFromSilence(t *testing.T) {
+func TestLateOwnerDoesNotRestartTasksOfSilentWorkers(t *testing.T) {
 	core, now := idleCore(t, 2)
 	core.AddJob(simpleJob(1, 1), nil, false, now)
 	core.Schedule(now)
@@ -82,12 +82,12 @@
 	}
 	fail()
 	now.Steady += 10 * time.Second // all leases have expired
-	core.Late(time.Second, now)
+	core.ObserveLateness(time.Second, now)
 	core.Tick(now)
 	if n := len(starts(core)); n > 0 {
 		t.Fatal("an owner that was late itself started the task again")
 	}
-	core.Late(0, now)
+	core.ObserveLateness(0, now)
 	core.Tick(now)
 	if n := len(starts(core)); n > 0 {
 		t.Fatal("the task was started again before the worker was polled once more")
@@ -95,7 +95,7 @@
 	now.Steady += 10 * time.Millisecond
 	fail()
 	for range 20 {
-		core.Late(0, now)
+		core.ObserveLateness(0, now)
 	}
 	core.Tick(now)
 	if n := len(starts(core)); n != 1 {
@@ -104,13 +104,13 @@
 }
 
 // TestLateOwnerWaitsForThePreviousOwnersWorkers checks the same after a takeover.
-func TestLateOwnerWaitsForThePreviousOnesWorkers(t *testing.T) {
+func TestLateOwnerWaitsForThePreviousOwnersWorkers(t *testing.T) {
 	now := Instant{Steady: time.Second}
 	core := recoveredCore(now, RosterEntry{ID: "w1", Address: "w1"})
 	plan := core.PlanPoll("w1", now)
 	core.PollDone(plan.Order, PollReply{}, OutcomeUnknown, now)
 	now.Steady += 11 * time.Second
-	core.Late(time.Second, now)
+	core.ObserveLateness(time.Second, now)
 	core.Tick(now)
 	if core.Recovering() != 1 {
 		t.Fatal("a late owner takes a worker's leases for expired")
@@ -118,7 +118,7 @@
 	now.Steady += time.Second
 	plan = core.PlanPoll("w1", now)
 	core.PollDone(plan.Order, PollReply{}, OutcomeUnknown, now)
-	core.Late(0, now)
+	core.ObserveLateness(0, now)
 	core.Tick(now)
 	if core.Recovering() != 0 {
 		t.Fatal("the owner still waits after the worker did not answer in time")
@@ -127,7 +127,7 @@
 
 // TestOwnerThatReachesFewWorkersRestartsNothing checks that an owner for which most workers are
 // silent at once blames its own network link: the workers' ends wait there to be read.
-func TestOwnerWithoutReachConcludesNothing(t *testing.T) {
+func TestOwnerThatReachesFewWorkersRestartsNothing(t *testing.T) {
 	for silent := 1; silent <= 4; silent++ {
 		core, now := idleCore(t, 4)
 		spec := simpleJob(1, 4)
@@ -166,7 +166,7 @@
 
 // TestUnsentOrderIsPlannedAgain checks that an order that was not sent may go to another worker at
 // once.
-func TestOrderThatWasNotSentIsDecidedAnew(t *testing.T) {
+func TestUnsentOrderIsPlannedAgain(t *testing.T) {
 	core, now := idleCore(t, 2)
 	core.AddJob(simpleJob(1, 1), nil, false, now)
 	core.Schedule(now)
--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -30,7 +30,7 @@
 	}
 	pools := map[string]*pool{}
 	for _, x := range list {
-		if !c.overload.starts(x.step) {
+		if !c.overload.allowsStart(x.step) {
 			continue
 		}
 		p := pools[x.queue.Service]
--- a/dispatch/place_test.go
+++ b/dispatch/place_test.go
@@ -75,7 +75,7 @@
 // missed returns a task that a scan of all workers would place now.
 func (c *Core) missed(now Instant) *task {
 	for _, x := range c.candidates(now) {
-		if !c.overload.starts(x.step) {
+		if !c.overload.allowsStart(x.step) {
 			continue
 		}
 		workers := c.poolOf(x.queue.Service, now)
--- a/dispatch/reach.go
+++ b/dispatch/reach.go
@@ -6,7 +6,7 @@
 // itself was on time and reached most others. Without these conditions, an owner that
 // is late, or whose link is congested, restarts tasks whose ends it has not read yet.
 func (c *Core) silent(w *worker, now Instant) bool {
-	return w.failedPolls > 0 && w.failedPollSent > c.overload.doubtful && c.reachesOthers(w, now)
+	return w.failedPolls > 0 && w.failedPollSent > c.overload.inconclusiveAt && c.reachesOthers(w, now)
 }
 
 // reachedWithin is the age of a worker's newest answer up to which the worker counts
--- a/dispatch/sim_calm_test.go
+++ b/dispatch/sim_calm_test.go
@@ -10,7 +10,7 @@
 
 // TestFaultFreeGangMembersNeverEndAlone guards against gang members that time out waiting for the
 // others although no fault occurs, also while jobs are cancelled.
-func TestCalmGangsAreNeverAlone(t *testing.T) {
+func TestFaultFreeGangMembersNeverEndAlone(t *testing.T) {
 	for seed := range uint64(10) {
 		s := newSim(seed, 4)
 		s.gangJobs, s.slowStops, s.longPolls = true, true, true
@@ -35,7 +35,7 @@
 
 // TestAllEndsAreAcknowledged guards against ends that a worker lists forever: once the faults are
 // over, all of them must be acknowledged.
-func TestAllEndsAreForgotten(t *testing.T) {
+func TestAllEndsAreAcknowledged(t *testing.T) {
 	for seed := range uint64(10) {
 		s := faultsRun(seed, lateAnswers)
 		for _, w := range s.workers {
@@ -57,7 +57,7 @@
 
 // check fails for a job that has waited too long. Time in which more than half of the processors are
 // in use does not count.
-func (i *idleJobs) look(t *testing.T) {
+func (i *idleJobs) check(t *testing.T) {
 	t.Helper()
 	s := i.sim
 	running := map[string]bool{}
@@ -88,13 +88,13 @@
 // TestJobsDoNotWaitWhileCapacityIsFree guards against jobs that are left waiting without faults,
 // with failing tasks, with a worker at which all runs fail, with workers that refuse starts, or with
 // slow stops.
-func TestJobsWithRoomAreNotIdle(t *testing.T) {
+func TestJobsDoNotWaitWhileCapacityIsFree(t *testing.T) {
 	for name, setup := range map[string]func(s *sim){
 		"calm":       func(*sim) {},
 		"failures":   func(s *sim) { s.failShare = 0.05 },
-		"bad worker": func(s *sim) { s.failShare, s.workers[0].bad = 0.05, true },
+		"bad worker": func(s *sim) { s.failShare, s.workers[0].failsAll = 0.05, true },
 		"gangs":      func(s *sim) { s.gangJobs, s.slowStops, s.failShare = true, true, 0.05 },
-		"unwell":     func(s *sim) { s.refuseShare, s.noRoomShare = 0.05, 0.03 },
+		"unwell":     func(s *sim) { s.refuseShare, s.noCapacityShare = 0.05, 0.03 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(6) {
@@ -103,7 +103,7 @@
 				idle := &idleJobs{s, map[string]time.Duration{}}
 				s.run(time.Second)
 				for id := 1; s.now < 30*time.Second; s.step() {
-					idle.look(t)
+					idle.check(t)
 					switch {
 					case s.rng.IntN(40) == 0:
 						s.submit(simpleJob(id, 1+s.rng.IntN(4), 1+s.rng.IntN(3)))
--- a/dispatch/sim_checkpoint_faults_test.go
+++ b/dispatch/sim_checkpoint_faults_test.go
@@ -33,21 +33,21 @@
 
 // checkpointTally sums up the use of checkpoints over several runs.
 type checkpointTally struct {
-	brought, jobs, paced, moved int
-	less                        map[string]int
+	resumed, jobs, paced, moved int
+	stale                       map[string]int
 	examples                    map[string]string
-	wasted                      float64 // seconds
+	repeated                    float64 // seconds
 }
 
 func (c *checkpointTally) add(s *sim) {
 	o := &s.oracle.checkpoints
-	c.brought += o.brought
+	c.resumed += o.resumed
 	c.jobs += s.checkpointIDs
 	c.paced += s.paced
 	c.moved += s.preempted
-	c.wasted += o.wasted.Seconds()
-	for class, n := range o.less {
-		c.less[class] += n
+	c.repeated += o.repeated.Seconds()
+	for class, n := range o.stale {
+		c.stale[class] += n
 		if c.examples[class] == "" {
 			c.examples[class] = o.examples[class]
 		}
@@ -56,16 +56,16 @@
 
 func (c *checkpointTally) log(t *testing.T) {
 	t.Helper()
-	t.Logf("%d jobs, %d starts with a checkpoint, %d pace orders, %d preemptions for memory or readings; %.1f s of work repeated", c.jobs, c.brought, c.paced, c.moved, c.wasted)
-	for _, class := range slices.Sorted(maps.Keys(c.less)) {
-		t.Logf("%d starts with less work than %s; %s", c.less[class], class, c.examples[class])
+	t.Logf("%d jobs, %d starts with a checkpoint, %d pace orders, %d preemptions for memory or readings; %.1f s of work repeated", c.jobs, c.resumed, c.paced, c.moved, c.repeated)
+	for _, class := range slices.Sorted(maps.Keys(c.stale)) {
+		t.Logf("%d starts with less work than %s; %s", c.stale[class], class, c.examples[class])
 	}
 }
 
 // TestCheckpointFaults runs all kinds of faults with jobs that keep checkpoints.
 func TestCheckpointFaults(t *testing.T) {
 	cases := append([]faultCase{{name: "plain faults", inShort: true}}, moreFaultCases()...)
-	tally := checkpointTally{less: map[string]int{}, examples: map[string]string{}}
+	tally := checkpointTally{stale: map[string]int{}, examples: map[string]string{}}
 	for _, c := range cases {
 		if testing.Short() && !c.inShort {
 			continue
@@ -83,7 +83,7 @@
 		})
 	}
 	tally.log(t)
-	if tally.brought == 0 || tally.paced == 0 || tally.moved == 0 {
+	if tally.resumed == 0 || tally.paced == 0 || tally.moved == 0 {
 		t.Error("no start had a checkpoint, or no fill task was slowed or preempted")
 	}
 }
@@ -110,7 +110,7 @@
 			}),
 		"a gang's members bring their own": func(s *sim) {
 			reported := map[job.TaskID]string{}
-			s.alterReply = func(_ *Core, reply *PollReply) { noteEach(reported, reply) }
+			s.alterReply = func(_ *Core, reply *PollReply) { recordCheckpoints(reported, reply) }
 			s.alterStart = func(_ *Core, o *Order) {
 				if text := reported[o.Task]; s.stepOf(o.Task).Gang && text != "" {
 					o.Checkpoint = text
@@ -124,9 +124,9 @@
 				return t.step.job.steps[first.Step].tasks[first.Index].continuesFrom().text
 			}),
 		"a text told of a step that keeps none is used": func(s *sim) {
-			lieOfPlainSteps(s)
+			falsifyPlainSteps(s)
 			reported := map[job.TaskID]string{}
-			s.alterReply = func(_ *Core, reply *PollReply) { noteEach(reported, reply) }
+			s.alterReply = func(_ *Core, reply *PollReply) { recordCheckpoints(reported, reply) }
 			s.alterStart = func(_ *Core, o *Order) {
 				if o.Checkpoint == "" {
 					o.Checkpoint = reported[o.Task]
@@ -159,7 +159,7 @@
 }
 
 // recordCheckpoints records the checkpoint that a reply reports for each task.
-func noteEach(reported map[job.TaskID]string, reply *PollReply) {
+func recordCheckpoints(reported map[job.TaskID]string, reply *PollReply) {
 	for i := range reply.Running {
 		reported[reply.Running[i].Task] = reply.Running[i].Checkpoint
 	}
@@ -169,17 +169,17 @@
 }
 
 // falsifyPlainSteps has workers report a checkpoint for each task whose step keeps none.
-func lieOfPlainSteps(s *sim) {
-	s.lie = func(w *simWorker, reply *PollReply) {
+func falsifyPlainSteps(s *sim) {
+	s.falsify = func(w *simWorker, reply *PollReply) {
 		for i := range reply.Running {
 			if row := &reply.Running[i]; !s.stepOf(row.Task).Checkpoints {
-				s.lies++
+				s.falsified++
 				row.Checkpoint = s.checkpointText(row.Task, simCheckpointInterval)
 			}
 		}
 		for i := range reply.Ended {
 			if e := &reply.Ended[i]; !s.stepOf(e.Task).Checkpoints {
-				s.lies++
+				s.falsified++
 				e.Checkpoint = s.checkpointText(e.Task, simCheckpointInterval)
 			}
 		}
@@ -203,9 +203,9 @@
 }
 
 // falsifyUnknownRuns has workers list runs that no owner ordered, with a checkpoint.
-func lieOfUnknownRuns(s *sim) {
+func falsifyUnknownRuns(s *sim) {
 	const firstUnknown = 1 << 20 // beyond the starts of a term
-	s.lie = func(w *simWorker, reply *PollReply) {
+	s.falsify = func(w *simWorker, reply *PollReply) {
 		rng := s.checkpointRNG
 		if len(s.order) == 0 || rng.IntN(20) > 0 {
 			return
@@ -214,9 +214,9 @@
 		if w.running[id] != nil || !s.stepOf(id).Checkpoints {
 			return
 		}
-		s.lies++
+		s.falsified++
 		const work = 10 * time.Second // more than any task does
-		run := w.term<<runBits | uint64(firstUnknown+s.lies)
+		run := w.term<<runBits | uint64(firstUnknown+s.falsified)
 		reply.Running = append(reply.Running, RunningTask{Task: id, Run: run, Percent: 1, Checkpoint: s.checkpointText(id, work)})
 	}
 }
@@ -224,13 +224,13 @@
 // TestCheckpointsThatDoNotCount guards against starts that use a false checkpoint: workers report
 // checkpoints for steps that keep none, or for runs that no owner ordered, together with all faults.
 func TestCheckpointsThatDoNotCount(t *testing.T) {
-	for name, falsify := range map[string]func(s *sim){"of plain steps": lieOfPlainSteps, "of unknown runs": lieOfUnknownRuns} {
+	for name, falsify := range map[string]func(s *sim){"of plain steps": falsifyPlainSteps, "of unknown runs": falsifyUnknownRuns} {
 		t.Run(name, func(t *testing.T) {
 			falsified := 0
 			for n := range *checkpointSeeds {
 				seed := *simFirst + n
-				s := checkpointRun(seed, allAtOnce, falsify)
-				falsified += s.lies
+				s := checkpointRun(seed, allFaults, falsify)
+				falsified += s.falsified
 				checkAll(t, s)
 				if t.Failed() {
 					t.Fatalf("seed %d", seed)
--- a/dispatch/sim_checkpoint_oracle_test.go
+++ b/dispatch/sim_checkpoint_oracle_test.go
@@ -10,28 +10,28 @@
 // checkpointOracle checks that starts carry checkpoints of their own tasks.
 type checkpointOracle struct {
 	// reported holds the checkpoints that workers have listed.
-	told map[string]bool
+	reported map[string]bool
 	// gangs holds the checkpoint that the first started member of a gang's run carried.
 	gangs map[gangID]string
 	// newest holds the reported checkpoint with the most work, by owner and task.
-	newest map[tellKey]toldCheckpoint
+	newest map[reportKey]reportedCheckpoint
 	// resumed counts the starts with a checkpoint, and stale, by class, those with less
 	// work than the newest one reported to their owner; repeated is the difference.
-	brought int
-	less    map[string]int
-	wasted  time.Duration
+	resumed  int
+	stale    map[string]int
+	repeated time.Duration
 	// examples holds the first start of each class.
 	examples map[string]string
 }
 
 // reportKey identifies the checkpoints of a task or gang that one owner received.
-type tellKey struct {
+type reportKey struct {
 	term uint64
 	of   job.TaskID
 }
 
 // reportedCheckpoint is a checkpoint as an owner received it.
-type toldCheckpoint struct {
+type reportedCheckpoint struct {
 	text  string
 	task  job.TaskID
 	run   uint64
@@ -44,36 +44,36 @@
 
 func newCheckpointOracle() checkpointOracle {
 	return checkpointOracle{
-		told: map[string]bool{}, gangs: map[gangID]string{}, newest: map[tellKey]toldCheckpoint{},
-		less: map[string]int{}, examples: map[string]string{},
+		reported: map[string]bool{}, gangs: map[gangID]string{}, newest: map[reportKey]reportedCheckpoint{},
+		stale: map[string]int{}, examples: map[string]string{},
 	}
 }
 
 // listed records the checkpoints that a worker lists.
 func (o *checkpointOracle) listed(reply PollReply) {
 	for i := range reply.Running {
-		o.told[reply.Running[i].Checkpoint] = true
+		o.reported[reply.Running[i].Checkpoint] = true
 	}
 	for i := range reply.Ended {
-		o.told[reply.Ended[i].Checkpoint] = true
+		o.reported[reply.Ended[i].Checkpoint] = true
 	}
 }
 
 // received records the checkpoints that an owner receives.
-func (o *oracle) heard(core *Core, reply PollReply) {
+func (o *oracle) received(core *Core, reply PollReply) {
 	for i := range reply.Running {
 		row := &reply.Running[i]
-		o.heardOne(core, toldCheckpoint{text: row.Checkpoint, task: row.Task, run: row.Run})
+		o.receivedCheckpoint(core, reportedCheckpoint{text: row.Checkpoint, task: row.Task, run: row.Run})
 	}
 	for i := range reply.Ended {
 		e := &reply.Ended[i]
-		o.heardOne(core, toldCheckpoint{text: e.Checkpoint, task: e.Task, run: e.Run, ended: true, kind: e.Kind})
+		o.receivedCheckpoint(core, reportedCheckpoint{text: e.Checkpoint, task: e.Task, run: e.Run, ended: true, kind: e.Kind})
 	}
 }
 
-func (o *oracle) heardOne(core *Core, c toldCheckpoint) {
-	key := tellKey{core.Term(), o.sim.checkpointOwner(c.task)}
-	if c.text == "" || workTold(c.text) <= workTold(o.checkpoints.newest[key].text) {
+func (o *oracle) receivedCheckpoint(core *Core, c reportedCheckpoint) {
+	key := reportKey{core.Term(), o.sim.checkpointOwner(c.task)}
+	if c.text == "" || checkpointWork(c.text) <= checkpointWork(o.checkpoints.newest[key].text) {
 		return
 	}
 	t := core.findTask(c.task)
@@ -90,9 +90,9 @@
 	case text == "":
 	case !s.stepOf(order.Task).Checkpoints:
 		o.fail("%s, and its step keeps no checkpoints", what)
-	case text != s.checkpointText(order.Task, workTold(text)):
+	case text != s.checkpointText(order.Task, checkpointWork(text)):
 		o.fail("%s, which is not one of the task", what)
-	case !o.checkpoints.told[text]:
+	case !o.checkpoints.reported[text]:
 		o.fail("%s, which no worker has reported", what)
 	}
 	if s.stepOf(order.Task).Gang {
@@ -110,23 +110,23 @@
 func (o *oracle) measureStart(core *Core, order *Order) {
 	c := &o.checkpoints
 	if order.Checkpoint != "" {
-		c.brought++
+		c.resumed++
 	}
-	newest := c.newest[tellKey{core.Term(), o.sim.checkpointOwner(order.Task)}]
-	missed := workTold(newest.text) - workTold(order.Checkpoint)
+	newest := c.newest[reportKey{core.Term(), o.sim.checkpointOwner(order.Task)}]
+	missed := checkpointWork(newest.text) - checkpointWork(order.Checkpoint)
 	if missed <= 0 {
 		return
 	}
-	class := o.lessClass(core, order, newest)
-	if c.less[class] == 0 {
+	class := o.staleClass(core, order, newest)
+	if c.stale[class] == 0 {
 		c.examples[class] = fmt.Sprintf("%v: start of %s run %d carries %q; reported %q of run %d at %v", o.sim.now, order.Task, order.Run, order.Checkpoint, newest.text, newest.run, newest.at)
 	}
-	c.less[class]++
-	c.wasted += missed
+	c.stale[class]++
+	c.repeated += missed
 }
 
 // staleClass describes the origins of the newest checkpoint and of the one that was used.
-func (o *oracle) lessClass(core *Core, order *Order, newest toldCheckpoint) string {
+func (o *oracle) staleClass(core *Core, order *Order, newest reportedCheckpoint) string {
 	origin := "a list"
 	if newest.ended {
 		origin = "an end " + string(newest.kind)
--- a/dispatch/sim_checkpoint_test.go
+++ b/dispatch/sim_checkpoint_test.go
@@ -21,8 +21,8 @@
 	// paced counts the pace orders that were carried out, preempted the stops of fill tasks.
 	paced, preempted int
 	// falsify, if set, adds false entries to a worker's lists; falsified counts them.
-	lie  func(w *simWorker, reply *PollReply)
-	lies int
+	falsify   func(w *simWorker, reply *PollReply)
+	falsified int
 
 	// Safeguards that are switched off: alterStart changes an order, alterReply a poll reply.
 	alterStart func(core *Core, o *Order)
@@ -51,13 +51,13 @@
 
 // simWork is the work that a run has done, counted from the task's first run.
 type simWork struct {
-	begun   time.Duration // work recorded in the checkpoint it started from
-	done    time.Duration // until since
-	since   time.Duration
-	working bool // false while a gang's member waits for the others
-	pace    int
-	left    time.Duration // at full pace, when the pace was last set
-	brought string        // the checkpoint it started from
+	resumedAt       time.Duration // work recorded in the checkpoint it started from
+	done            time.Duration // until since
+	since           time.Duration
+	working         bool // false while a gang's member waits for the others
+	pace            int
+	left            time.Duration // at full pace, when the pace was last set
+	startCheckpoint string        // the checkpoint it started from
 }
 
 // at returns the work done at a time.
@@ -100,7 +100,7 @@
 }
 
 // checkpointWork returns the work recorded in a checkpoint.
-func workTold(text string) time.Duration {
+func checkpointWork(text string) time.Duration {
 	const digits = 8
 	if len(text) < digits {
 		return 0
@@ -115,8 +115,8 @@
 // begin has a run continue from a checkpoint. The remaining work is drawn independently of it, so that
 // runs last as long without checkpoints as with them.
 func (r *simRun) begin(s *sim, checkpoint string) {
-	done := workTold(checkpoint)
-	r.work = simWork{begun: done, done: done, since: s.now, working: !s.stepOf(r.task).Gang, pace: fullPace, brought: checkpoint}
+	done := checkpointWork(checkpoint)
+	r.work = simWork{resumedAt: done, done: done, since: s.now, working: !s.stepOf(r.task).Gang, pace: fullPace, startCheckpoint: checkpoint}
 }
 
 // saved returns the latest checkpoint that a run has saved.
@@ -125,17 +125,17 @@
 		return ""
 	}
 	done := r.work.at(s.now)
-	if stopped && done > r.work.begun {
+	if stopped && done > r.work.resumedAt {
 		return s.checkpointText(r.task, done)
 	}
 	interval := simCheckpointInterval + simMemberLag*time.Duration(r.task.Index%8)
-	if saved := (done - r.work.begun) / interval * interval; saved > 0 {
-		return s.checkpointText(r.task, r.work.begun+saved)
+	if saved := (done - r.work.resumedAt) / interval * interval; saved > 0 {
+		return s.checkpointText(r.task, r.work.resumedAt+saved)
 	}
 	if r.run%2 == 0 {
 		return "" // the run has saved none itself
 	}
-	return r.work.brought
+	return r.work.startCheckpoint
 }
 
 // reading returns the reading in a run's row of the list: the processor time of a fill task, the tail
--- a/dispatch/sim_crash_test.go
+++ b/dispatch/sim_crash_test.go
@@ -14,7 +14,7 @@
 
 // connectedFor is how long an owner must have been without faults to be held to the bound on starts;
 // users require it for VMs that have been connected for 3 s.
-const touchFor = 3 * time.Second
+const connectedFor = 3 * time.Second
 
 // crasher reports whether a task crashes each worker that starts it.
 func (s *sim) crasher(id job.TaskID) bool {
@@ -47,7 +47,7 @@
 			s.takeoversBefore[r.task] = s.takeovers
 		}
 		s.crashed++
-		if !w.unreached(r.run >> runBits) {
+		if !w.unreachable(r.run >> runBits) {
 			s.crashesUnder[r.task] = append(s.crashesUnder[r.task], r.run)
 		}
 		for i, other := range s.workers {
@@ -64,7 +64,7 @@
 func (s *sim) knownCrashes(id job.TaskID) int {
 	n := 0
 	for _, run := range s.crashesUnder[id] {
-		if s.startsTold[run] {
+		if s.startsReported[run] {
 			n++
 		}
 	}
@@ -77,7 +77,7 @@
 // latest crash was stored.
 func (o *oracle) checkCrasher(r *simRun) {
 	s := o.sim
-	if !s.crasher(r.task) || s.knownCrashes(r.task) < crashLimit || s.now-s.owner.troubledAt < touchFor || s.owner.core.Term() != r.run>>runBits {
+	if !s.crasher(r.task) || s.knownCrashes(r.task) < crashLimit || s.now-s.owner.lastFaultAt < connectedFor || s.owner.core.Term() != r.run>>runBits {
 		return
 	}
 	s.startsAfter[r.task]++
@@ -89,7 +89,7 @@
 
 // crashingTasks adds tasks that crash their workers to the other faults.
 func crashingTasks(s *sim) {
-	s.crashesUnder, s.startsAfter, s.startsTold = map[job.TaskID][]uint64{}, map[job.TaskID]int{}, map[uint64]bool{}
+	s.crashesUnder, s.startsAfter, s.startsReported = map[job.TaskID][]uint64{}, map[job.TaskID]int{}, map[uint64]bool{}
 	s.onCrashed, s.takeoversBefore = map[job.TaskID]int{}, map[job.TaskID]int{}
 	s.deadRefuse = true
 	s.settleMore = time.Minute // few workers, which keep crashing until all such tasks are given up
@@ -105,17 +105,17 @@
 }
 
 // recordCrash records the tasks that ran at a worker that crashes.
-func (s *sim) noteCrashed(w *simWorker) {
+func (s *sim) recordCrash(w *simWorker) {
 	for id := range w.running {
 		if s.onCrashed != nil {
 			s.onCrashed[id]++
 		}
 	}
-	s.noteEndedUnread(w)
+	s.recordEndedUnread(w)
 }
 
 // maxCrashesOfTask returns the largest number of workers that crashed with one task of a job.
-func (s *sim) mostCrashed(id string) int {
+func (s *sim) maxCrashesOfTask(id string) int {
 	most := 0
 	for task, n := range s.onCrashed {
 		if task.Job == id {
@@ -129,4 +129,4 @@
 // that for a task with which two workers have crashed; here it takes three. In seed 34 a task started
 // 0.5 s before three crashes, was running in a fourth, and may have been running in one more when its
 // owner died; a sixth start would have exceeded the bound.
-func (s *sim) mayBeGivenUp(id string) bool { return s.mostCrashed(id) >= crashLimit }
+func (s *sim) mayBeGivenUp(id string) bool { return s.maxCrashesOfTask(id) >= crashLimit }
--- a/dispatch/sim_faults_test.go
+++ b/dispatch/sim_faults_test.go
@@ -14,7 +14,7 @@
 	// refuseShare of the starts are refused by an unwell worker, without effect.
 	refuseShare float64
 	// noCapacityShare of the starts are refused for lack of capacity.
-	noRoomShare float64
+	noCapacityShare float64
 	// breakShare of the calls lose their connection before the answer, half of them
 	// after the call was carried out.
 	breakShare float64
@@ -45,16 +45,16 @@
 	gangJobs bool
 	gangs    map[gangID]*simGang
 	// longRunning: some jobs run until they are cancelled.
-	lasting bool
+	longRunning bool
 	// removed holds the final states of the jobs whose records were removed.
 	removed map[string]job.State
 
 	// crashesUnder holds, for each task that crashes its workers, the runs that did,
 	// startsAfter counts its starts after the third crash, and startsReported holds the
 	// runs whose start was answered to an owner.
-	crashesUnder map[job.TaskID][]uint64
-	startsAfter  map[job.TaskID]int
-	startsTold   map[uint64]bool
+	crashesUnder   map[job.TaskID][]uint64
+	startsAfter    map[job.TaskID]int
+	startsReported map[uint64]bool
 	// takeoversBefore is the number of takeovers before each such task's first crash.
 	takeoversBefore map[job.TaskID]int
 	// deadRefuse: connections to a worker are refused between two of its incarnations.
@@ -71,7 +71,7 @@
 
 	// Safeguards that are switched off.
 	// ignoreTries: a refusal counts as if only one copy of the start had been sent.
-	forgetTries bool
+	ignoreTries bool
 	// believeOldLists: a list counts as newer than the runs that are missing from it.
 	believeOldLists bool
 	// believeEntries: an incarnation that is not listed counts as ended.
@@ -81,9 +81,9 @@
 	// forgetCrashes: an owner drops its records of tasks' crashes.
 	forgetCrashes bool
 	// skipPollWait: workers answer polls at once, and owners take the wait for observed.
-	hastyLists bool
+	skipPollWait bool
 	// stopBeforeHandover: an owner that hands over stops before its lease ends.
-	quietHandover bool
+	stopBeforeHandover bool
 
 	// Counts of the injected faults.
 	refused, copied, handovers, restarts, listedLate, rereads, crashed, gaps int
@@ -108,7 +108,7 @@
 
 // travelFault injects a transport fault into a call; it reports false if there is none.
 func (s *sim) travelFault(w *simWorker, term uint64, travel time.Duration, do func(w *simWorker), answered func(), lost func()) bool {
-	if w == nil || w.unreached(term) {
+	if w == nil || w.unreachable(term) {
 		return false
 	}
 	if s.chance(s.breakShare) {
@@ -142,7 +142,7 @@
 		}
 		s.copied++
 		s.later(s.within(30*time.Millisecond), func() {
-			if w.unreached(term) {
+			if w.unreachable(term) {
 				s.later(callTimeout, lost)
 				return
 			}
@@ -177,7 +177,7 @@
 	check = func() {
 		w.advance()
 		switch {
-		case !w.alive || w.unreached(h.Token):
+		case !w.alive || w.unreachable(h.Token):
 			s.later(callTimeout, lost)
 		case len(w.ended) == 0 && s.now < until:
 			s.later(s.within(20*time.Millisecond), check)
@@ -192,17 +192,17 @@
 // notSent reports to the owner that an order was not sent in time.
 func (s *sim) notSent(o *simOwner, order Order) {
 	s.later(500*time.Millisecond, func() {
-		s.answer(o, func() { o.core.OrderDone(order, Answer{Outcome: OutcomeNotSent}, s.instant()) })
+		s.deliver(o, func() { o.core.OrderDone(order, Answer{Outcome: OutcomeNotSent}, s.instant()) })
 	})
 }
 
 // orderDone has a core process the answer to an order. With ignoreTries, a refusal counts as if only
 // one copy had been sent.
 func (s *sim) orderDone(core *Core, o Order, answer Answer) {
-	if s.startsTold != nil && o.Kind == OrderStart && answer.Outcome == OutcomeOK {
-		s.startsTold[o.Run] = true
+	if s.startsReported != nil && o.Kind == OrderStart && answer.Outcome == OutcomeOK {
+		s.startsReported[o.Run] = true
 	}
-	if t := core.findTask(o.Task); s.forgetTries && t != nil && t.attempt != nil && t.attempt.run == o.Run {
+	if t := core.findTask(o.Task); s.ignoreTries && t != nil && t.attempt != nil && t.attempt.run == o.Run {
 		t.attempt.tries = 1
 	}
 	core.OrderDone(o, answer, s.instant())
@@ -224,7 +224,7 @@
 
 // keepOldEntry keeps the entry of an incarnation that ends in the platform's list, where it expires
 // late and may be written once more.
-func (s *sim) leaveEntry(w *simWorker) {
+func (s *sim) keepOldEntry(w *simWorker) {
 	if !s.oldEntries {
 		return
 	}
@@ -260,11 +260,11 @@
 	owners := append(slices.Clone(s.old), s.owner)
 	deliver := func(o *simOwner) { o.core.AddJob(spec, nil, false, s.instant()) }
 	for _, o := range owners {
-		s.later(s.lateness(), func() { s.watched(o, func() { deliver(o) }) })
+		s.later(s.lateness(), func() { s.deliverWatch(o, func() { deliver(o) }) })
 	}
 	o := owners[max(0, len(owners)-1-s.rng.IntN(2))]
 	for range s.rng.IntN(3) {
-		s.later(s.lateness(), func() { s.answer(o, func() { deliver(o) }) })
+		s.later(s.lateness(), func() { s.deliver(o, func() { deliver(o) }) })
 	}
 }
 
@@ -279,14 +279,14 @@
 // reread offers the owner all jobs in the store as new, as it reads them after the store has lost
 // its history. The answer is in transit for a while.
 func (s *sim) reread() {
-	if s.storeDown || s.owner.cutStore {
+	if s.storeDown || s.owner.storeUnreachable {
 		return
 	}
 	s.rereads++
 	o, list, cancelled := s.owner, slices.Clone(s.order), slices.Collect(maps.Keys(s.cancelled))
 	slices.Sort(cancelled)
 	s.later(s.lateness(), func() {
-		s.answer(o, func() {
+		s.deliver(o, func() {
 			for _, id := range list {
 				if j := o.core.jobs[id]; s.forgetEnded && j != nil && j.progress.State.Final() && j.active == 0 {
 					delete(o.core.jobs, id)
@@ -303,7 +303,7 @@
 // removeExpired removes the records of jobs that ended longer ago than they are kept.
 func (s *sim) removeExpired(o *simOwner) {
 	ids := slices.Clone(o.core.Expired(8))
-	if len(ids) == 0 || o.removing || s.storeDown || o.cutStore || o != s.owner {
+	if len(ids) == 0 || o.removing || s.storeDown || o.storeUnreachable || o != s.owner {
 		return
 	}
 	o.removing = true
@@ -337,22 +337,22 @@
 // until it receives the answer.
 func (s *sim) handOver() {
 	o := s.owner
-	if s.storeDown || o.cutStore || o.dead || o.paused {
+	if s.storeDown || o.storeUnreachable || o.dead || o.paused {
 		return
 	}
 	s.handovers++
-	o.handedOver, o.leadEnd = true, s.now+handoverLeast+s.within(300*time.Millisecond)
-	o.dead = s.quietHandover
-	s.later(s.within(handoverUnheard), func() { o.dead = true })
+	o.handedOver, o.leaseEnd = true, s.now+minHandoverTime+s.within(300*time.Millisecond)
+	o.dead = s.stopBeforeHandover
+	s.later(s.within(maxHandoverDelay), func() { o.dead = true })
 }
 
 const (
 	// minHandoverTime is the least time of a takeover after a handover: for the notice,
 	// the election and reading the state.
-	handoverLeast = 60 * time.Millisecond
+	minHandoverTime = 60 * time.Millisecond
 	// maxHandoverDelay is the longest that an owner acts after its lease was ended: the
 	// answer may get lost, but the next renewal reports it.
-	handoverUnheard = 600 * time.Millisecond
+	maxHandoverDelay = 600 * time.Millisecond
 )
 
 // restart ends the owner's process; the next process takes over within a second and may be ended as
@@ -360,7 +360,7 @@
 func (s *sim) restart(times int) {
 	s.restarts++
 	s.owner.dead = true
-	s.owner.leadEnd = s.now + s.within(time.Second)
+	s.owner.leaseEnd = s.now + s.within(time.Second)
 	if times > 1 {
 		s.later(time.Second+s.within(1500*time.Millisecond), func() { s.restart(times - 1) })
 	}
@@ -370,13 +370,13 @@
 func (s *sim) idle(d time.Duration) {
 	s.run(8 * time.Second)
 	s.now += d
-	s.owner.leadEnd = s.now + simTTL
+	s.owner.leaseEnd = s.now + simTTL
 	s.run(100 * time.Millisecond)
 }
 
 // endMoreFaults ends the faults that are switched on.
-func (s *sim) calmMore() {
-	s.refuseShare, s.noRoomShare, s.breakShare, s.delayShare, s.lateAnswerShare, s.notSentShare, s.startGapShare = 0, 0, 0, 0, 0, 0, 0
+func (s *sim) endMoreFaults() {
+	s.refuseShare, s.noCapacityShare, s.breakShare, s.delayShare, s.lateAnswerShare, s.notSentShare, s.startGapShare = 0, 0, 0, 0, 0, 0, 0
 	s.extra = nil
 	for _, w := range s.workers {
 		w.unwellUntil, w.unlisted = 0, 0
@@ -384,7 +384,7 @@
 }
 
 // submitLongRunning submits a job that runs until it is cancelled.
-func (s *sim) submitLasting(id int) {
+func (s *sim) submitLongRunning(id int) {
 	spec := simpleJob(id, 1+s.rng.IntN(3))
 	spec.Steps[0].Lasting = true
 	s.submit(spec)
--- a/dispatch/sim_gang_test.go
+++ b/dispatch/sim_gang_test.go
@@ -29,7 +29,7 @@
 	// simGangTimeout is how long a member waits for the others.
 	simGangTimeout = 3 * time.Second
 	// simGangEndDelay is the longest that members take to end after one has ended.
-	simGangNews = 300 * time.Millisecond
+	simGangEndDelay = 300 * time.Millisecond
 )
 
 // joinGang has a run wait for the other members if it belongs to a gang.
@@ -69,7 +69,7 @@
 	}
 	g.over = true
 	for _, m := range g.members {
-		s.later(s.within(simGangNews), func() {
+		s.later(s.within(simGangEndDelay), func() {
 			m.worker.advance()
 			if m.worker.running[m.run.task] == m.run {
 				m.worker.end(m.run, EndBroken)
--- a/dispatch/sim_oracle_test.go
+++ b/dispatch/sim_oracle_test.go
@@ -77,7 +77,7 @@
 	if o.done[r.task] {
 		o.fail("task %s run %d starts at %s after its end was acknowledged", r.task, r.run, w.info.ID)
 	}
-	spec := o.sim.askedSpec(r.task.Job)
+	spec := o.sim.submittedSpec(r.task.Job)
 	for _, earlier := range spec.Steps[r.task.Step].After {
 		for i := range spec.Steps[earlier].Count {
 			if !o.everDone[job.TaskID{Job: r.task.Job, Occurrence: r.task.Occurrence, Step: earlier, Index: i}] {
@@ -109,7 +109,7 @@
 		return
 	}
 	for _, owner := range append(slices.Clone(o.sim.old), o.sim.owner) {
-		if owner.core.Term() == r.run>>runBits && o.sim.now > owner.troubledAt+evacuationBound {
+		if owner.core.Term() == r.run>>runBits && o.sim.now > owner.lastFaultAt+evacuationBound {
 			o.fail("task %s run %d starts at %s, whose data centre is evacuated since %v", r.task, r.run, w.info.ID, since)
 		}
 	}
@@ -129,7 +129,7 @@
 	if kind != EndDone {
 		return
 	}
-	for _, t := range o.fellows(r.task) {
+	for _, t := range o.endCountsFor(r.task) {
 		o.everDone[t] = true
 	}
 	if o.doneAt[w] == nil {
@@ -149,8 +149,8 @@
 	for n, t := range o.doneAt[w] {
 		if n <= seen {
 			ended := o.doneSince[w][n]
-			if w.lapsed < ended {
-				for _, t := range o.fellows(t) {
+			if w.expiredAt < ended {
+				for _, t := range o.endCountsFor(t) {
 					o.acknowledged(t, w, ended)
 				}
 			}
@@ -159,7 +159,7 @@
 	}
 	for _, list := range o.failures {
 		for _, f := range list {
-			f.counted = f.counted || f.worker == w && f.number <= seen && w.lapsed < f.at
+			f.counted = f.counted || f.worker == w && f.number <= seen && w.expiredAt < f.at
 		}
 	}
 	o.checkBudget()
@@ -175,7 +175,7 @@
 
 // endCountsFor returns the tasks that an end of one task counts for: all members of its gang, or
 // else the task alone.
-func (o *oracle) fellows(t job.TaskID) []job.TaskID {
+func (o *oracle) endCountsFor(t job.TaskID) []job.TaskID {
 	step := &o.sim.specs[t.Job].Steps[t.Step]
 	if !step.Gang {
 		return []job.TaskID{t}
--- a/dispatch/sim_restart_test.go
+++ b/dispatch/sim_restart_test.go
@@ -16,8 +16,8 @@
 	restartsPlayed int
 	// unguardIncarnations switches a safeguard off before an owner acts, and unguardPoll
 	// changes a poll request; nil changes nothing.
-	unguardLives func(o *Core)
-	unguardPoll  func(o *Core, h *PollRequest)
+	unguardIncarnations func(o *Core)
+	unguardPoll         func(o *Core, h *PollRequest)
 }
 
 // Limits of restarts under the same id.
@@ -26,14 +26,14 @@
 	quickRestart = 500 * time.Millisecond
 	// maxClockJumpBack is how far a worker's time of day may jump back between two
 	// incarnations.
-	mostJumpBack = time.Hour
+	maxClockJumpBack = time.Hour
 	// simEpoch is the time of day at the start of the simulation, in Unix milliseconds.
 	simEpoch = 1_700_000_000_000
 )
 
 // recordEndedUnread counts a crash also for tasks that had ended at the worker if no owner had read
 // the end: to their owner they were still running.
-func (s *sim) noteEndedUnread(w *simWorker) {
+func (s *sim) recordEndedUnread(w *simWorker) {
 	if !s.sameID {
 		return
 	}
@@ -63,9 +63,9 @@
 
 // restartsWithAllFaults simulates such restarts together with long-running tasks, gangs, restarts of the
 // owner and entries that are written late.
-func restartsOfAll(s *sim) {
+func restartsWithAllFaults(s *sim) {
 	s.useSameIDs()
-	s.lasting, s.gangJobs, s.slowStops, s.longPolls, s.oldEntries, s.delayShare, s.breakShare = true, true, true, true, true, 0.02, 0.02
+	s.longRunning, s.gangJobs, s.slowStops, s.longPolls, s.oldEntries, s.delayShare, s.breakShare = true, true, true, true, true, 0.02, 0.02
 	s.extra = func(s *sim) {
 		switch i := s.rng.IntN(len(s.workers)); s.rng.IntN(5) {
 		case 0:
@@ -81,7 +81,7 @@
 // restartsAmidLateCalls simulates such restarts while many calls are carried out seconds later.
 func restartsAmidLateCalls(s *sim) {
 	s.useSameIDs()
-	s.lasting = true
+	s.longRunning = true
 	s.extra = func(s *sim) {
 		s.lossShare = 0.12
 		s.crash(s.rng.IntN(len(s.workers)))
@@ -99,8 +99,8 @@
 	s.useSameIDs()
 	s.extra = func(s *sim) {
 		if o := s.owner; s.rng.IntN(3) == 0 {
-			o.cutStore = true
-			s.later(6*time.Second, func() { o.cutStore = false })
+			o.storeUnreachable = true
+			s.later(6*time.Second, func() { o.storeUnreachable = false })
 			s.later(simTTL, func() { s.crash(s.rng.IntN(len(s.workers))) })
 		}
 		s.crash(s.rng.IntN(len(s.workers)))
@@ -108,7 +108,7 @@
 }
 
 // restartsBeforeCuts simulates workers that restart and are cut off soon after.
-func restartsBehindCuts(s *sim) {
+func restartsBeforeCuts(s *sim) {
 	s.useSameIDs()
 	s.extra = func(s *sim) {
 		i := s.rng.IntN(len(s.workers))
@@ -134,9 +134,9 @@
 // shareID gives a new incarnation the id of its place. Its clock starts near 0 or anywhere.
 func (w *simWorker) shareID() {
 	s := w.sim
-	born := simEpoch + s.now.Milliseconds() + int64(s.lives)
+	born := simEpoch + s.now.Milliseconds() + int64(s.incarnations)
 	if s.rng.IntN(4) == 0 {
-		born -= s.within(mostJumpBack).Milliseconds()
+		born -= s.within(maxClockJumpBack).Milliseconds()
 	}
 	w.info.ID = IncarnationID(fmt.Sprintf("w-%s", w.info.VM), born)
 	if s.now > 0 && s.rng.IntN(2) == 0 {
@@ -145,7 +145,7 @@
 }
 
 // downtime returns how long a worker is down after a crash.
-func (s *sim) away() time.Duration {
+func (s *sim) downtime() time.Duration {
 	if s.sameID && s.rng.IntN(2) == 0 {
 		return s.within(quickRestart)
 	}
@@ -169,7 +169,7 @@
 // goroutine does not need, it runs two seeds of the case that combines the faults.
 func TestRestartsUnderTheSameID(t *testing.T) {
 	for name, setup := range map[string]func(*sim){
-		"crashes": restartsUnderOneID, "all": restartsOfAll, "late calls": restartsAmidLateCalls, "old owners": restartsUnderOldOwners, "cuts": restartsBehindCuts,
+		"crashes": restartsUnderOneID, "all": restartsWithAllFaults, "late calls": restartsAmidLateCalls, "old owners": restartsUnderOldOwners, "cuts": restartsBeforeCuts,
 	} {
 		seeds := max(restartSeeds, *moreSeeds)
 		if testing.Short() {
@@ -209,7 +209,7 @@
 		mutate func(s *sim)
 	}{
 		{"the token does not rise with lives", restartsAmidMoreLateCalls, func(s *sim) {
-			s.unguardLives = func(c *Core) {
+			s.unguardIncarnations = func(c *Core) {
 				for _, n := range c.incarnationsByName {
 					n.generation = 0
 				}
@@ -218,8 +218,8 @@
 		{"every poll acknowledges", restartsUnderOneID, func(s *sim) {
 			s.unguardPoll = func(c *Core, h *PollRequest) { h.Seen = c.workers[h.Worker].storedEnd }
 		}},
-		{"what the life before was ordered is taken for lost with it", restartsOfAll, func(s *sim) {
-			s.unguardLives = func(c *Core) {
+		{"what the life before was ordered is taken for lost with it", restartsWithAllFaults, func(s *sim) {
+			s.unguardIncarnations = func(c *Core) {
 				for _, w := range c.workers {
 					for _, a := range w.attempts {
 						a.listed = true
@@ -227,8 +227,8 @@
 				}
 			}
 		}},
-		{"what the previous owner left at a life is not handed on to the next", restartsOfAll, func(s *sim) {
-			s.unguardLives = func(c *Core) {
+		{"what the previous owner left at a life is not handed on to the next", restartsWithAllFaults, func(s *sim) {
+			s.unguardIncarnations = func(c *Core) {
 				for id := range c.unresolved {
 					if len(c.incarnationsByName[id.Name()].incarnations) > 1 {
 						c.resolve(id, "another life answers", s.instant())
--- a/dispatch/sim_shapes_test.go
+++ b/dispatch/sim_shapes_test.go
@@ -13,9 +13,9 @@
 	// shapedJobs: such jobs are submitted, and workers differ.
 	shapedJobs bool
 	// alterSpec, if set, changes the jobs that owners receive.
-	forgetAsked func(spec *job.Spec)
+	alterSpec func(spec *job.Spec)
 	// submitted holds the jobs as their customers submitted them, where that differs.
-	asked map[string]*job.Spec
+	submitted map[string]*job.Spec
 	// shaped counts the starts of tasks of such jobs.
 	shaped int
 }
@@ -82,22 +82,22 @@
 	case 5:
 		spec.Queue = simOtherService
 	}
-	if s.forgetAsked != nil {
-		if s.asked == nil {
-			s.asked = map[string]*job.Spec{}
+	if s.alterSpec != nil {
+		if s.submitted == nil {
+			s.submitted = map[string]*job.Spec{}
 		}
-		s.asked[spec.ID] = spec
+		s.submitted[spec.ID] = spec
 		altered := *spec
 		altered.Steps = append([]job.Step(nil), spec.Steps...)
-		s.forgetAsked(&altered)
+		s.alterSpec(&altered)
 		spec = &altered
 	}
 	s.submit(spec)
 }
 
 // submittedSpec returns a job as its customer submitted it.
-func (s *sim) askedSpec(id string) *job.Spec {
-	if spec := s.asked[id]; spec != nil {
+func (s *sim) submittedSpec(id string) *job.Spec {
+	if spec := s.submitted[id]; spec != nil {
 		return spec
 	}
 	return s.specs[id]
@@ -105,8 +105,8 @@
 
 // checkSubmitted fails unless a started task was submitted, has its payload, and may run at this
 // place and time. The run is already among those of its worker.
-func (o *oracle) checkAsked(w *simWorker, order Order) {
-	spec := o.sim.askedSpec(order.Task.Job)
+func (o *oracle) checkSubmitted(w *simWorker, order Order) {
+	spec := o.sim.submittedSpec(order.Task.Job)
 	t := order.Task
 	if spec == nil || t.Occurrence >= spec.Times() || t.Step >= len(spec.Steps) || t.Index >= spec.Steps[t.Step].Count {
 		o.fail("task %s starts, which nobody submitted", t)
@@ -122,7 +122,7 @@
 		o.fail("task %s starts %d ms early", t, due-o.sim.now.Milliseconds())
 	}
 	o.checkPlace(w, t, spec)
-	o.checkRoom(w, t)
+	o.checkCapacity(w, t)
 }
 
 func (o *oracle) checkPlace(w *simWorker, t job.TaskID, spec *job.Spec) {
@@ -149,10 +149,10 @@
 }
 
 // checkCapacity fails if the runs at a worker, including a new one, exceed its capacity.
-func (o *oracle) checkRoom(w *simWorker, t job.TaskID) {
+func (o *oracle) checkCapacity(w *simWorker, t job.TaskID) {
 	var taken resources
 	for id := range w.running {
-		taken = taken.add(amountOf(&o.sim.askedSpec(id.Job).Steps[id.Step]), 1)
+		taken = taken.add(amountOf(&o.sim.submittedSpec(id.Job).Steps[id.Step]), 1)
 	}
 	if taken.cpu > w.info.CPUMilli || taken.memory > w.info.MemoryMiB || taken.accelerators > w.info.Accelerators {
 		o.fail("task %s starts at %s, where %+v are then in use", t, w.info.ID, taken)
@@ -160,14 +160,14 @@
 }
 
 // dropLabels removes required labels from the jobs that owners receive.
-func forgetLabels(spec *job.Spec) {
+func dropLabels(spec *job.Spec) {
 	for i := range spec.Steps {
 		spec.Steps[i].Requires = ""
 	}
 }
 
 // alterSteps returns an alterSpec that changes each step.
-func forgetStep(change func(step *job.Step)) func(spec *job.Spec) {
+func alterSteps(change func(step *job.Step)) func(spec *job.Spec) {
 	return func(spec *job.Spec) {
 		for i := range spec.Steps {
 			change(&spec.Steps[i])
@@ -181,12 +181,12 @@
 		t.Skip("runs without -short")
 	}
 	for name, forget := range map[string]func(spec *job.Spec){
-		"label":        forgetLabels,
-		"spread":       forgetStep(func(step *job.Step) { step.MaxPerWorker = 0 }),
-		"memory":       forgetStep(func(step *job.Step) { step.MemoryMiB = 0 }),
-		"accelerators": forgetStep(func(step *job.Step) { step.Accelerators = 0 }),
-		"processors":   forgetStep(func(step *job.Step) { step.CPUMilli = 0 }),
-		"earlier step": forgetStep(func(step *job.Step) { step.After = nil }),
+		"label":        dropLabels,
+		"spread":       alterSteps(func(step *job.Step) { step.MaxPerWorker = 0 }),
+		"memory":       alterSteps(func(step *job.Step) { step.MemoryMiB = 0 }),
+		"accelerators": alterSteps(func(step *job.Step) { step.Accelerators = 0 }),
+		"processors":   alterSteps(func(step *job.Step) { step.CPUMilli = 0 }),
+		"earlier step": alterSteps(func(step *job.Step) { step.After = nil }),
 		"time":         func(spec *job.Spec) { spec.FirstDueMS -= 1000 },
 		"interval":     func(spec *job.Spec) { spec.IntervalMS /= 2 },
 		"payload":      func(spec *job.Spec) { spec.Payload = "another" },
@@ -198,7 +198,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(mutationSeeds) {
-				s := faultsRun(seed, func(s *sim) { shapesOfJobs(s); s.forgetAsked = forget })
+				s := faultsRun(seed, func(s *sim) { shapesOfJobs(s); s.alterSpec = forget })
 				if len(s.oracle.broken) > 0 {
 					t.Logf("seed %d: %s", seed, s.oracle.broken[0])
 					return
--- a/dispatch/sim_test.go
+++ b/dispatch/sim_test.go
@@ -22,16 +22,16 @@
 	core *Core
 	// lag is the most by which a process that lacks processor time is late: it sends
 	// its orders and reads the answers up to lag later.
-	lag      time.Duration
-	dead     bool
-	paused   bool
-	cutStore bool
+	lag              time.Duration
+	dead             bool
+	paused           bool
+	storeUnreachable bool
 	// lastFaultAt is when it was last cut off, paused, late or without the store.
-	troubledAt time.Duration
-	polling    map[WorkerID]bool
-	leadEnd    time.Duration // when its lease at the store expires
-	writing    bool
-	removing   bool
+	lastFaultAt time.Duration
+	polling     map[WorkerID]bool
+	leaseEnd    time.Duration // when its lease at the store expires
+	writing     bool
+	removing    bool
 	// handedOver: its lease was ended at the store, and it has not received that yet.
 	handedOver bool
 }
@@ -43,12 +43,12 @@
 	now          time.Duration
 	params       Params
 	workers      []*simWorker
-	lives        int
+	incarnations int
 	owner        *simOwner
 	old          []*simOwner
 	term         uint64
 	queue        []delivery
-	sent         int
+	deliveries   int
 	oracle       *oracle
 	failShare    float64
 	maxAttempts  int
@@ -59,16 +59,16 @@
 	cancelled    map[string]time.Duration
 	progress     map[string][]byte // the store
 	roster       rosterStore
-	unheard      []byte
+	unreadLosses []byte
 	storeDown    bool
 	takeovers    int
 	renewalsLost time.Duration            // until then
 	evacuated    map[string]time.Duration // since when, by data centre
 	// Safeguards that are switched off.
-	dropRoster, ackEarly, noFence, shortLease, dropTasks, unawareLate, hastyRetry bool
+	dropRoster, ackEarly, noFence, shortLease, dropTasks, ignoreLateness, retryBeforeLists bool
 	// blindTakeover: a new owner does not read which data centres are evacuated;
 	// hideEvacuations: no owner is told.
-	blindTakeover, unevacuated bool
+	blindTakeover, hideEvacuations bool
 	// strict: no task that has ended done starts again, whether its owner has read the
 	// end or not. That holds while the owner lives and all workers are reachable.
 	strict bool
@@ -104,14 +104,14 @@
 }
 
 func (s *sim) newWorker(place int) *simWorker {
-	s.lives++
+	s.incarnations++
 	rate := 1.0
 	if s.rng.IntN(2) == 0 {
 		rate = 0.98
 	}
 	w := &simWorker{
 		sim: s, alive: true, rate: rate, offset: int64(s.rng.IntN(1_000_000)) + 1, born: s.now,
-		info:    WorkerInfo{ID: WorkerID(fmt.Sprintf("w%d-%d", place, s.lives)), VM: fmt.Sprintf("m%d", place), Address: fmt.Sprintf("addr%d", place), Service: "svc", DataCentre: fmt.Sprintf("dc%d", place%simDataCentres), CPUMilli: 4000, MemoryMiB: 8000},
+		info:    WorkerInfo{ID: WorkerID(fmt.Sprintf("w%d-%d", place, s.incarnations)), VM: fmt.Sprintf("m%d", place), Address: fmt.Sprintf("addr%d", place), Service: "svc", DataCentre: fmt.Sprintf("dc%d", place%simDataCentres), CPUMilli: 4000, MemoryMiB: 8000},
 		running: map[job.TaskID]*simRun{}, highest: map[job.TaskID]uint64{},
 	}
 	s.shapeWorker(&w.info, place)
@@ -125,11 +125,11 @@
 func (s *sim) instant() Instant { return Instant{Steady: s.now, UnixMS: s.now.Milliseconds()} }
 
 func (s *sim) later(d time.Duration, run func()) {
-	s.sent++
-	s.queue = append(s.queue, delivery{s.now + d, s.sent, run})
+	s.deliveries++
+	s.queue = append(s.queue, delivery{s.now + d, s.deliveries, run})
 }
 
-func (w *simWorker) unreached(token uint64) bool {
+func (w *simWorker) unreachable(token uint64) bool {
 	return w.cut || w.cutAbove > 0 && token >= w.cutAbove+TokensPerTerm
 }
 
@@ -160,7 +160,7 @@
 	}
 	roll := s.rng.Float64()
 	switch {
-	case w == nil || w.unreached(term) || roll < s.lossShare:
+	case w == nil || w.unreachable(term) || roll < s.lossShare:
 		s.later(callTimeout, lost)
 	case roll < 2*s.lossShare:
 		s.later(travel, func() { do(s.reached(w)) })
@@ -170,7 +170,7 @@
 		s.later(callTimeout, lost)
 	default:
 		s.later(travel, func() {
-			if w.unreached(term) {
+			if w.unreachable(term) {
 				s.later(callTimeout, lost)
 				return
 			}
@@ -196,7 +196,7 @@
 		s.takeovers++
 	}
 	s.term += TokensPerTerm
-	o := &simOwner{polling: map[WorkerID]bool{}, leadEnd: s.now + simTTL}
+	o := &simOwner{polling: map[WorkerID]bool{}, leaseEnd: s.now + simTTL}
 	o.core = New(s.params, s.term, func(d Decision) {
 		if d.Event == "run_stop" && s.isFill(d.Task) {
 			s.preempted++
@@ -223,16 +223,16 @@
 		}
 	}
 	o.core.Recover(list, s.instant())
-	if s.unheard != nil {
-		if err := o.core.RecoverUnread(s.unheard); err != nil {
+	if s.unreadLosses != nil {
+		if err := o.core.RecoverUnread(s.unreadLosses); err != nil {
 			panic(err)
 		}
 	}
 	o.core.SetConfig(s.config())
 	if !s.blindTakeover {
-		s.tellEvacuated(o)
+		s.reportEvacuated(o)
 	}
-	s.list(o)
+	s.reportWorkers(o)
 	for _, id := range s.order {
 		var p *job.Progress
 		if v, ok := s.progress[id]; ok {
@@ -249,7 +249,7 @@
 	s.owner = o
 }
 
-func (s *sim) list(o *simOwner) {
+func (s *sim) reportWorkers(o *simOwner) {
 	var list []WorkerInfo
 	for _, w := range s.workers {
 		if w.alive {
@@ -275,18 +275,18 @@
 	}
 	for _, o := range append(slices.Clone(s.old), s.owner) {
 		if o != nil {
-			s.watched(o, func() { o.core.AddJob(spec, nil, false, s.instant()) })
+			s.deliverWatch(o, func() { o.core.AddJob(spec, nil, false, s.instant()) })
 		}
 	}
 }
 
 // deliverWatch delivers a change in the store to an owner once the store is reachable for it.
-func (s *sim) watched(o *simOwner, f func()) {
-	if o.cutStore || s.storeDown {
-		s.later(100*time.Millisecond, func() { s.watched(o, f) })
+func (s *sim) deliverWatch(o *simOwner, f func()) {
+	if o.storeUnreachable || s.storeDown {
+		s.later(100*time.Millisecond, func() { s.deliverWatch(o, f) })
 		return
 	}
-	s.answer(o, f)
+	s.deliver(o, f)
 }
 
 func (s *sim) cancel(id string) {
@@ -294,7 +294,7 @@
 		s.cancelled[id] = s.now
 		for _, o := range append(slices.Clone(s.old), s.owner) {
 			if o != nil {
-				s.watched(o, func() { o.core.Cancel(id, s.instant()) })
+				s.deliverWatch(o, func() { o.core.Cancel(id, s.instant()) })
 			}
 		}
 	}
@@ -310,13 +310,13 @@
 	}
 	for _, o := range append(slices.Clone(s.old), s.owner) {
 		if o != nil {
-			s.watched(o, func() { s.tellEvacuated(o) })
+			s.deliverWatch(o, func() { s.reportEvacuated(o) })
 		}
 	}
 }
 
-func (s *sim) tellEvacuated(o *simOwner) {
-	if !s.unevacuated {
+func (s *sim) reportEvacuated(o *simOwner) {
+	if !s.hideEvacuations {
 		o.core.SetEvacuated(slices.Sorted(maps.Keys(s.evacuated)))
 	}
 }
@@ -328,7 +328,7 @@
 // checks.
 func (s *sim) flush(o *simOwner) {
 	s.removeExpired(o)
-	if s.storeDown || o.cutStore || o != s.owner || o.handedOver || o.writing {
+	if s.storeDown || o.storeUnreachable || o != s.owner || o.handedOver || o.writing {
 		return
 	}
 	records, err := o.core.Records(5)
@@ -357,7 +357,7 @@
 			}
 			s.roster.put(roster)
 			if unheard != nil {
-				s.unheard = unheard
+				s.unreadLosses = unheard
 			}
 			s.later(2*time.Millisecond, func() {
 				o.writing = false
@@ -375,14 +375,14 @@
 
 // drive lets one owner do the work that is due.
 func (s *sim) drive(o *simOwner) {
-	if o.dead || o.paused || o.lag > 0 || o.cutStore || s.storeDown {
-		o.troubledAt = s.now
+	if o.dead || o.paused || o.lag > 0 || o.storeUnreachable || s.storeDown {
+		o.lastFaultAt = s.now
 	}
 	if o.dead || o.paused || o.core.Deposed() {
 		return
 	}
-	if s.unguardLives != nil {
-		s.unguardLives(o.core)
+	if s.unguardIncarnations != nil {
+		s.unguardIncarnations(o.core)
 	}
 	for _, id := range o.core.Workers() {
 		if !o.polling[id] {
@@ -394,8 +394,8 @@
 			w.lastDeadline -= 1500
 		}
 	}
-	if !s.unawareLate {
-		o.core.Late(o.lag, s.instant())
+	if !s.ignoreLateness {
+		o.core.ObserveLateness(o.lag, s.instant())
 	}
 	if s.forgetCrashes {
 		for _, j := range o.core.jobs {
@@ -421,19 +421,19 @@
 		}
 		var answer Answer
 		s.call(o, s.byAddress(order.Address), order.Token, func(w *simWorker) { answer = w.order(order) },
-			func() { s.answer(o, func() { s.orderDone(o.core, order, answer) }) },
+			func() { s.deliver(o, func() { s.orderDone(o.core, order, answer) }) },
 			func() {
-				s.answer(o, func() { o.core.OrderDone(order, Answer{Outcome: OutcomeUnknown}, s.instant()) })
+				s.deliver(o, func() { o.core.OrderDone(order, Answer{Outcome: OutcomeUnknown}, s.instant()) })
 			})
 	}
 }
 
-func (s *sim) answer(o *simOwner, f func()) {
+func (s *sim) deliver(o *simOwner, f func()) {
 	if o.dead {
 		return
 	}
 	if o.paused {
-		s.later(50*time.Millisecond, func() { s.answer(o, f) })
+		s.later(50*time.Millisecond, func() { s.deliver(o, f) })
 		return
 	}
 	f()
@@ -449,38 +449,38 @@
 	var reply PollReply
 	var outcome Outcome
 	finish := func(reply PollReply, outcome Outcome) {
-		pause := s.holdDone(o.core, plan.Order, reply, outcome)
+		pause := s.pollDone(o.core, plan.Order, reply, outcome)
 		s.later(pause+time.Duration(s.rng.IntN(300))*time.Millisecond, func() { o.polling[id] = false })
 	}
 	if s.unguardPoll != nil {
 		s.unguardPoll(o.core, &plan.Order)
 	}
 	asked := plan.Order
-	if s.hastyLists {
+	if s.skipPollWait {
 		asked.Wait = 0
 	}
 	var at *simWorker
-	lost := func() { s.answer(o, func() { finish(PollReply{}, OutcomeUnknown) }) }
-	s.call(o, s.byAddress(plan.Order.Address), plan.Order.Token, func(w *simWorker) { at = w; reply, outcome = w.hold(asked) },
+	lost := func() { s.deliver(o, func() { finish(PollReply{}, OutcomeUnknown) }) }
+	s.call(o, s.byAddress(plan.Order.Address), plan.Order.Token, func(w *simWorker) { at = w; reply, outcome = w.poll(asked) },
 		func() {
 			if (s.longPolls || asked.Wait == startGap) && outcome == OutcomeOK {
-				s.awaitEnd(at, asked, func(reply PollReply) { s.answer(o, func() { finish(reply, OutcomeOK) }) }, lost)
+				s.awaitEnd(at, asked, func(reply PollReply) { s.deliver(o, func() { finish(reply, OutcomeOK) }) }, lost)
 				return
 			}
-			s.answer(o, func() { finish(reply, outcome) })
+			s.deliver(o, func() { finish(reply, outcome) })
 		}, lost)
 }
 
 // pollDone has a core process a poll reply. With retryBeforeLists, tasks that failed are started
 // again as if all workers of the previous owner had answered.
-func (s *sim) holdDone(core *Core, order PollRequest, reply PollReply, outcome Outcome) time.Duration {
+func (s *sim) pollDone(core *Core, order PollRequest, reply PollReply, outcome Outcome) time.Duration {
 	w := core.workers[order.Worker]
 	s.misread(core, w, reply)
 	if s.alterReply != nil {
 		s.alterReply(core, &reply)
 	}
-	s.oracle.heard(core, reply)
-	if s.hastyRetry && w != nil && w.synced {
+	s.oracle.received(core, reply)
+	if s.retryBeforeLists && w != nil && w.synced {
 		waiting, open := core.unresolved, core.openUnresolved
 		core.unresolved, core.openUnresolved = nil, 0
 		defer func() { core.unresolved, core.openUnresolved = waiting, open }()
@@ -512,12 +512,12 @@
 	}
 	if s.now < s.renewalsLost {
 		// Renewals are carried out or not; the owner gets no answer to them.
-	} else if s.owner != nil && !s.owner.handedOver && !s.owner.dead && !s.owner.paused && !s.owner.cutStore && !s.storeDown {
-		s.owner.leadEnd = s.now + simTTL
+	} else if s.owner != nil && !s.owner.handedOver && !s.owner.dead && !s.owner.paused && !s.owner.storeUnreachable && !s.storeDown {
+		s.owner.leaseEnd = s.now + simTTL
 		s.owner.core.Renewed(s.now)
-		s.list(s.owner)
+		s.reportWorkers(s.owner)
 	}
-	if s.owner == nil || !s.storeDown && s.now > s.owner.leadEnd {
+	if s.owner == nil || !s.storeDown && s.now > s.owner.leaseEnd {
 		s.takeover()
 	}
 	for _, o := range append(slices.Clone(s.old), s.owner) {
@@ -539,12 +539,12 @@
 	}
 	w.advance()
 	s.oracle.crashed(w)
-	s.noteCrashed(w)
-	s.leaveEntry(w)
+	s.recordCrash(w)
+	s.keepOldEntry(w)
 	w.alive = false
 	for _, r := range w.sorted() {
 		r.gang.left(s, EndLapsed)
 	}
 	w.running = map[job.TaskID]*simRun{}
-	s.later(s.away(), func() { s.workers[i] = s.newWorker(i) })
+	s.later(s.downtime(), func() { s.workers[i] = s.newWorker(i) })
 }
--- a/dispatch/sim_worker_test.go
+++ b/dispatch/sim_worker_test.go
@@ -10,25 +10,25 @@
 // simWorker simulates one incarnation of a worker: it checks terms, deadlines, run numbers and
 // capacity, and lists the ends of runs until they are acknowledged.
 type simWorker struct {
-	sim    *sim
-	info   WorkerInfo
-	rate   float64 // of its clock
-	offset int64
-	born   time.Duration
-	alive  bool
-	cut    bool // calls to it get lost
-	bad    bool // all its runs fail
+	sim      *sim
+	info     WorkerInfo
+	rate     float64 // of its clock
+	offset   int64
+	born     time.Duration
+	alive    bool
+	cut      bool // calls to it get lost
+	failsAll bool // all its runs fail
 	// cutAbove, if set, loses only calls of later terms: the next owner can't reach a
 	// worker that this one reaches.
-	cutAbove uint64
-	term     uint64
-	lease    int64
-	running  map[job.TaskID]*simRun
-	ended    []EndedTask
-	endedNo  uint64
-	highest  map[job.TaskID]uint64 // highest run stopped or ended here
-	seen     uint64
-	lapsed   time.Duration // when its lease was last found to have expired
+	cutAbove  uint64
+	term      uint64
+	lease     int64
+	running   map[job.TaskID]*simRun
+	ended     []EndedTask
+	endedNo   uint64
+	highest   map[job.TaskID]uint64 // highest run stopped or ended here
+	seen      uint64
+	expiredAt time.Duration // when its lease was last found to have expired
 	// unwellUntil: until then it refuses starts without carrying them out.
 	unwellUntil time.Duration
 	unlisted    time.Duration // until then the platform does not list it
@@ -61,7 +61,7 @@
 		return
 	}
 	if w.clock() >= w.lease {
-		w.lapsed = w.sim.now
+		w.expiredAt = w.sim.now
 		for _, r := range w.sorted() {
 			w.end(r, EndLapsed)
 		}
@@ -105,10 +105,10 @@
 }
 
 // poll carries out a poll request.
-func (w *simWorker) hold(h PollRequest) (PollReply, Outcome) {
+func (w *simWorker) poll(h PollRequest) (PollReply, Outcome) {
 	w.advance()
 	if !w.alive || h.Worker.Name() != w.info.ID.Name() {
-		return PollReply{}, w.wrongLife()
+		return PollReply{}, w.wrongIncarnation()
 	}
 	if h.Token < w.term && !w.sim.noFence {
 		return PollReply{}, OutcomeFenced
@@ -136,8 +136,8 @@
 		reply.Running = append(reply.Running, row)
 	}
 	w.sim.oracle.checkpoints.listed(reply)
-	if w.sim.lie != nil {
-		w.sim.lie(w, &reply)
+	if w.sim.falsify != nil {
+		w.sim.falsify(w, &reply)
 	}
 	return reply
 }
@@ -146,7 +146,7 @@
 func (w *simWorker) order(o Order) Answer {
 	w.advance()
 	if !w.alive || o.Worker.Name() != w.info.ID.Name() {
-		return Answer{Outcome: w.wrongLife()}
+		return Answer{Outcome: w.wrongIncarnation()}
 	}
 	if o.Kind == OrderStart && w.refuses() {
 		return Answer{Outcome: OutcomeUnwell}
@@ -230,7 +230,7 @@
 	case w.running[o.Task] != nil:
 		return Answer{Outcome: OutcomeOld, ClockMS: clock}
 	}
-	if w.sim.chance(w.sim.noRoomShare) {
+	if w.sim.chance(w.sim.noCapacityShare) {
 		w.sim.refused++
 		return Answer{Outcome: OutcomeNoCapacity, ClockMS: clock}
 	}
@@ -238,19 +238,19 @@
 	if w.sim.specs[o.Task.Job].Steps[o.Task.Step].Lasting {
 		work = time.Hour
 	}
-	r := &simRun{task: o.Task, run: o.Run, ends: w.sim.now + work, since: w.sim.now, fails: w.bad || w.sim.rng.Float64() < w.sim.failShare}
+	r := &simRun{task: o.Task, run: o.Run, ends: w.sim.now + work, since: w.sim.now, fails: w.failsAll || w.sim.rng.Float64() < w.sim.failShare}
 	w.running[o.Task] = r
 	r.begin(w.sim, o.Checkpoint)
 	w.sim.joinGang(w, r, work)
 	w.sim.oracle.started(w, r)
-	w.sim.oracle.checkAsked(w, o)
+	w.sim.oracle.checkSubmitted(w, o)
 	w.sim.crashUnder(w, r)
 	return Answer{Outcome: OutcomeOK, ClockMS: clock}
 }
 
 // wrongIncarnation returns the outcome of a call to an ended incarnation: the next one answers it,
 // or nothing listens on the port yet.
-func (w *simWorker) wrongLife() Outcome {
+func (w *simWorker) wrongIncarnation() Outcome {
 	if !w.alive && w.sim.deadRefuse {
 		return OutcomeBroken
 	}
--- a/node/owner.go
+++ b/node/owner.go
@@ -276,7 +276,7 @@
 	for began := o.node.clock(); sleep(o.ctx, tickPause); began = o.node.clock() {
 		late := max(o.node.clock()-began-tickPause, time.Duration(o.waited.Swap(0)))
 		o.locked(func(c *dispatch.Core, now dispatch.Instant) {
-			c.Late(late, now)
+			c.ObserveLateness(late, now)
 			c.Tick(now)
 			load, _ := c.Load()
 			o.node.sparing.Store(load >= dispatch.LoadFewReadings)
