--- a/job/config.go
+++ b/job/config.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// Queue is where jobs are handed in; it names the group that they count for.
+// Queue is where jobs are submitted; it names the group whose share they use.
 type Queue struct {
 	Name       string
 	Host       string
 	PathPrefix string
 	// Service is the pool of workers that runs the queue's tasks.
 	Service string
-	// Priority 0 goes first.
+	// Priority 0 is the highest.
 	Priority int
-	// MaxAttempts is how many failed runs a task may have.
+	// MaxAttempts is how many runs of a task may fail.
 	MaxAttempts int
-	// A job is on time if it ends within Stretch times its longest chain of
-	// work, plus TargetLatency, of its first submission.
+	// A job is on time if it ends, counted from its first submission, within
+	// Stretch times its longest chain of work plus TargetLatency.
 	Stretch       float64
 	TargetLatency time.Duration
-	// RoomUnguarded is set if the service's workers start whatever they are told, also
-	// beyond their room.
+	// CapacityUnchecked is set if the service's workers don't check their capacity
+	// themselves: they start every run that is ordered, also beyond their capacity.
 	RoomUnguarded bool
-	// Advice is set if the service's placement policy must be asked.
+	// Advice is set if the service's placement policy must be consulted.
 	Advice *AdviceTerms
 }
 
-// AdviceTerms are the costs of a call to the placement policy: Decision plus
-// PerWorker for each worker named; a ticket holds for Validity.
+// AdviceTerms are the times of a call to the placement policy: it costs Decision
+// plus PerWorker for each worker named, and its ticket is valid for Validity.
 type AdviceTerms struct {
 	Decision, PerWorker, Validity time.Duration
 }
@@ -37,12 +37,12 @@
 type Config struct {
 	Version int64
 	Queues  []Queue
-	// MaxBodyBytes bounds a submitted job; 0 is not set.
+	// MaxBodyBytes bounds a submitted job; 0 means that it is not set.
 	MaxBodyBytes int64
 }
 
-// QueueFor returns the queue of a request: that of the host with the longest
-// prefix that the path starts with, or nil.
+// QueueFor returns the queue for a request: of the queues of its host, the one with
+// the longest prefix of the path, or nil.
 func (c *Config) QueueFor(host, path string) *Queue {
 	var best *Queue
 	for i := range c.Queues {
@@ -57,7 +57,7 @@
 	return best
 }
 
-// Queue returns the queue of that name, or nil.
+// Queue returns the queue with that name, or nil.
 func (c *Config) Queue(name string) *Queue {
 	for i := range c.Queues {
 		if c.Queues[i].Name == name {
--- a/job/job_test.go
+++ b/job/job_test.go
@@ -20,7 +20,7 @@
 	})
 	for _, bad := range []string{"", "a", "a.1.2", "a.1.x.2", "a.1.-2.3"} {
 		if _, err := ParseTaskID(bad); err == nil {
-			t.Errorf("%q passes", bad)
+			t.Errorf("%q is accepted", bad)
 		}
 	}
 }
@@ -34,7 +34,7 @@
 			id := TaskID{Step: 1, Index: rapid.IntRange(0, count-1).Draw(t, "index")}
 			if rapid.Bool().Draw(t, "ends well") {
 				if p.MarkDone(id, count) == done[id.Index] {
-					t.Fatal("a task is not noted once")
+					t.Fatal("a finished task is not recorded exactly once")
 				}
 				done[id.Index] = true
 				continue
@@ -42,7 +42,7 @@
 			run := rapid.Uint64Range(1, 5).Draw(t, "run")
 			id.Index = 0
 			if p.CountFailure(id, run) == failed[run] {
-				t.Fatal("a failure is not counted once")
+				t.Fatal("a failure is not recorded exactly once")
 			}
 			failed[run] = true
 		}
--- a/job/progress.go
+++ b/job/progress.go
@@ -9,7 +9,7 @@
 	"github.com/juju/errors"
 )
 
-// State is what a caller is told of a job.
+// State is the state of a job that is reported to callers.
 type State string
 
 // States of a job.
@@ -21,40 +21,40 @@
 	Cancelled State = "cancelled"
 )
 
-// Final reports whether the state never changes again.
+// Final reports whether the state can no longer change.
 func (s State) Final() bool { return s == Succeeded || s == Failed || s == Cancelled }
 
-// Status is what a caller is told of a job.
+// Status is the state of a job that is reported to callers, with its reason.
 type Status struct {
 	State State
-	// Reason is why it failed.
+	// Reason is why the job failed.
 	Reason string
 }
 
 // Progress is the durable part of a job's progress: what a new owner can't
-// learn from the workers, because they were told to forget it.
+// learn from the workers, because they drop a run once its end is acknowledged.
 type Progress struct {
 	State State `json:"state"`
-	// Done holds a bitmap of finished tasks for each occurrence and step
-	// that has any, under StepKey.
+	// Done holds a bitmap of finished tasks under StepKey, for each occurrence
+	// and step that has any.
 	Done map[string][]byte `json:"done,omitempty"`
 	// Failures holds the numbers of the failed runs of tasks, under
 	// OCCURRENCE.STEP.INDEX. Workers list an end until it is acknowledged,
-	// and after a takeover in any order, so a mere count would not do.
+	// and after a takeover in any order, so a counter would count some twice.
 	Failures map[string][]uint64 `json:"failures,omitempty"`
-	// Crashes holds the runs of a task in a row at whose start their worker crashed,
-	// under the same keys: a crashed worker tells nobody of them.
+	// Crashes holds the consecutive runs of a task at whose start the worker crashed,
+	// under the same keys. A crashed worker can't report them.
 	Crashes map[string][]Crash `json:"crashes,omitempty"`
 	// Starts holds the starts of tasks that may crash their workers, under the same keys,
-	// until it is known what became of them.
+	// until their outcome is known.
 	Starts map[string][]Start `json:"starts,omitempty"`
-	// Reason is why the job failed, for its customer.
+	// Reason is why the job failed, as the customer is shown it.
 	Reason string `json:"reason,omitempty"`
 	// EndedMS is when the state became final, milliseconds since 1970.
 	EndedMS int64 `json:"ended_ms,omitempty"`
 }
 
-// Start is a run that was ordered of a worker.
+// Start is a run that a worker was ordered to start.
 type Start struct {
 	Run    uint64 `json:"run"`
 	Worker string `json:"worker"`
@@ -63,21 +63,21 @@
 // Crash is a run at whose start its worker crashed.
 type Crash struct {
 	Run uint64 `json:"run"`
-	// Alone is set if no other worker crashed at that moment.
+	// Isolated is set if no other worker crashed around the same time.
 	Alone bool `json:"alone,omitempty"`
-	// Unsure is set if another run is likelier to have crashed the worker, and of a
-	// start that may have been when its owner was lost, and a worker: then Run is a
-	// number that no start has.
+	// Inconclusive is set if another run more likely crashed the worker. It is also
+	// set for a start that may have been ordered when its owner and a worker were
+	// lost: then Run is a number that no start has.
 	Unsure bool `json:"unsure,omitempty"`
 }
 
 // StepKey is the key of a step in Progress.Done.
 func StepKey(occurrence, step int) string { return fmt.Sprintf("%d.%d", occurrence, step) }
 
-// FailureKey is the key of a task in Progress.Failures.
+// ProgressKey is the key of a task in Progress.Failures, Crashes and Starts.
 func (t TaskID) FailureKey() string { return fmt.Sprintf("%d.%d.%d", t.Occurrence, t.Step, t.Index) }
 
-// MarkDone sets the bit of a finished task and reports whether it was clear.
+// MarkDone sets the bit of a finished task and reports whether it was clear before.
 func (p *Progress) MarkDone(t TaskID, count int) bool {
 	if p.Done == nil {
 		p.Done = map[string][]byte{}
@@ -102,7 +102,7 @@
 	return t.Index/8 < len(bits) && bits[t.Index/8]&(1<<(t.Index%8)) != 0
 }
 
-// CountFailure notes a failed run once and reports whether it was new.
+// RecordFailure records a failed run once and reports whether it was new.
 func (p *Progress) CountFailure(t TaskID, run uint64) bool {
 	if p.Failures == nil {
 		p.Failures = map[string][]uint64{}
@@ -118,8 +118,8 @@
 // FailureCount returns how many runs of a task have failed.
 func (p *Progress) FailureCount(t TaskID) int { return len(p.Failures[t.FailureKey()]) }
 
-// CountCrash notes once that a worker crashed at the start of a run, and reports
-// whether that was new.
+// RecordCrash records once that a worker crashed at the start of a run, and reports
+// whether the record is new.
 func (p *Progress) CountCrash(t TaskID, crash Crash) bool {
 	if p.Crashes == nil {
 		p.Crashes = map[string][]Crash{}
@@ -132,8 +132,8 @@
 	return true
 }
 
-// CrashAlone notes that no other worker crashed when that of a run did, and reports whether
-// the crash still counts.
+// MarkCrashIsolated records that no other worker crashed around the time of a run's crash,
+// and reports whether the crash is still counted.
 func (p *Progress) CrashAlone(t TaskID, run uint64) bool {
 	list := p.Crashes[t.FailureKey()]
 	i := slices.IndexFunc(list, func(c Crash) bool { return c.Run == run })
@@ -143,10 +143,10 @@
 	return i >= 0
 }
 
-// mostStarts bounds the starts that are kept of a task; a gang has one for each member.
+// maxStarts bounds the starts that are kept of a task; a gang has one for each member.
 const mostStarts = 64
 
-// AddStart notes a start.
+// AddStart records a start.
 func (p *Progress) AddStart(t TaskID, start Start) {
 	if p.Starts == nil {
 		p.Starts = map[string][]Start{}
@@ -156,7 +156,7 @@
 	p.Starts[key] = list[max(0, len(list)-mostStarts):]
 }
 
-// DropStarts forgets the starts of a task up to a run, and reports whether there were any.
+// DropStarts removes the starts of a task up to a run, and reports whether there were any.
 func (p *Progress) DropStarts(t TaskID, run uint64) bool {
 	key := t.FailureKey()
 	list := p.Starts[key]
@@ -172,13 +172,13 @@
 	return true
 }
 
-// CrashCount is how often the worker of a task crashed at its start, in a row.
+// CrashCount counts the consecutive starts of a task at which its worker crashed.
 type CrashCount struct {
-	// All counts also the unsure ones.
+	// All counts the inconclusive crashes too.
 	All, Sure, Alone int
 }
 
-// CrashCount returns how often the worker of a task crashed at its start, in a row.
+// CrashCount returns how often in a row the worker of a task crashed at its start.
 func (p *Progress) CrashCount(t TaskID) CrashCount {
 	list := p.Crashes[t.FailureKey()]
 	n := CrashCount{All: len(list)}
@@ -193,7 +193,7 @@
 	return n
 }
 
-// NewestCrash returns the highest of those runs, 0 without any.
+// NewestCrash returns the highest run number among the task's crashes, 0 without any.
 func (p *Progress) NewestCrash(t TaskID) uint64 {
 	newest := uint64(0)
 	for _, c := range p.Crashes[t.FailureKey()] {
@@ -202,13 +202,13 @@
 	return newest
 }
 
-// ClearCrashes forgets the crashes of a task.
+// ClearCrashes removes the crashes of a task.
 func (p *Progress) ClearCrashes(t TaskID) { delete(p.Crashes, t.FailureKey()) }
 
-// Check reports whether the progress can be that of a job: each bitmap is of one of
-// its steps and as long as that, and each failure of one of its tasks. A damaged
-// record would make tasks run again, or a bit be set outside of its bitmap. So it is
-// with crashes.
+// Check reports whether the progress can be that of a job: each bitmap belongs to one
+// of its steps and has that step's length, and each failure, start and crash belongs to
+// one of its tasks. A damaged record would make tasks run again, or set a bit outside
+// its bitmap.
 func (p *Progress) Check(spec *Spec) error {
 	switch p.State {
 	case Queued, Running, Succeeded, Failed, Cancelled:
@@ -234,7 +234,7 @@
 	return errors.Annotate(checkTasks(p.Crashes, spec), "crashes")
 }
 
-// checkTasks reports whether each key is that of a task of the job.
+// checkTaskKeys returns an error unless each key is that of a task of the job.
 func checkTasks[R any](runs map[string][]R, spec *Spec) error {
 	for key := range runs {
 		at, err := parseNumbers(key, 3)
@@ -248,8 +248,8 @@
 	return nil
 }
 
-// tasksOf returns how many tasks a step of an occurrence has; ok is false if there
-// is none.
+// taskCount returns how many tasks a step of an occurrence has; ok is false if the job
+// has no such step.
 func (s *Spec) tasksOf(occurrence, step int) (count int, ok bool) {
 	if occurrence >= s.Times() || step >= len(s.Steps) {
 		return 0, false
@@ -257,7 +257,7 @@
 	return s.Steps[step].Count, true
 }
 
-// parseNumbers reads so many numbers from 0 with points between them.
+// parseNumbers parses count non-negative numbers that are separated by dots.
 func parseNumbers(key string, count int) ([]int, error) {
 	parts := strings.Split(key, ".")
 	if len(parts) != count {
--- a/job/spec.go
+++ b/job/spec.go
@@ -10,8 +10,8 @@
 	"github.com/juju/errors"
 )
 
-// Limits of what a job may ask for. They bound the memory that one request can
-// take at an entry; the users' jobs stay two orders of magnitude below.
+// Limits of a job. They bound the memory that one request can take at an
+// entry; the jobs of users stay two orders of magnitude below.
 const (
 	MaxSteps        = 256
 	MaxTasks        = 20_000
@@ -21,9 +21,9 @@
 // IDLength is the length of a job id: 64 bits in hexadecimal.
 const IDLength = 16
 
-// Errors that callers tell apart.
+// Errors that callers distinguish.
 const (
-	// ErrInvalid is a job that can't be accepted as it stands.
+	// ErrInvalid means that a job is malformed and can't be accepted.
 	ErrInvalid = errors.ConstError("invalid job")
 )
 
@@ -36,61 +36,62 @@
 	// AcceptedMS is when an entry accepted the job, milliseconds since 1970
 	// by that entry's clock.
 	AcceptedMS int64 `json:"accepted_ms"`
-	// Occurrences above 0 repeats the steps at fixed times.
+	// Occurrences above 0 repeats the steps at fixed intervals.
 	Occurrences int   `json:"occurrences,omitempty"`
 	FirstDueMS  int64 `json:"first_due_ms,omitempty"`
 	IntervalMS  int64 `json:"interval_ms,omitempty"`
 }
 
-// Step is a number of equal tasks.
+// Step is a number of identical tasks.
 type Step struct {
 	Count        int   `json:"count"`
 	CPUMilli     int64 `json:"cpu_milli,omitempty"`
 	MemoryMiB    int64 `json:"memory_mib,omitempty"`
 	Accelerators int64 `json:"accelerators,omitempty"`
-	// EstimateMS is the submitter's rough guess of one task's run time.
+	// EstimateMS is the submitter's estimate of one task's run time.
 	EstimateMS int64 `json:"estimate_ms,omitempty"`
-	// After lists steps, counted from 0, that must be done first.
+	// After lists the steps, counted from 0, that must be done first.
 	After []int `json:"after,omitempty"`
-	// Checkpoints is set if a stopped task can continue where it was.
+	// Checkpoints is set if a stopped task can resume from a checkpoint.
 	Checkpoints bool `json:"checkpoints,omitempty"`
-	// Gang tasks work only all together, under one run number.
+	// Gang tasks work only all together, and share one run number.
 	Gang bool `json:"gang,omitempty"`
 	// SameRack gangs are slower when spread over racks.
 	SameRack bool `json:"same_rack,omitempty"`
 	// Requires is a label that the worker must have.
 	Requires string `json:"requires,omitempty"`
-	// DataRack is the rack where the tasks are fastest.
+	// DataRack is the rack where the tasks run fastest.
 	DataRack string `json:"data_rack,omitempty"`
-	// MaxPerWorker bounds the step's tasks on one worker; 0 is no bound.
+	// MaxPerWorker bounds the step's tasks on one worker; 0 means no bound.
 	MaxPerWorker int `json:"max_per_worker,omitempty"`
 	// Speculative tasks may run in several copies at once.
 	Speculative bool `json:"speculative,omitempty"`
-	// Lasting tasks run until the job is cancelled.
+	// LongRunning tasks run until the job is cancelled.
 	Lasting bool `json:"lasting,omitempty"`
-	// Image names the program; tasks of one image behave alike.
+	// Image names the program; tasks of one image behave similarly.
 	Image string `json:"image,omitempty"`
-	// TargetMS is the tail latency that a lasting task's own users are
-	// promised; 0 for none.
+	// TargetMS is the tail latency that a long-running task promises to its
+	// own users; 0 for none.
 	TargetMS int64 `json:"target_ms,omitempty"`
-	// Fills is set if the tasks use only processor time that others leave.
+	// Fills is set for fill tasks: they use only processor time that other
+	// tasks leave.
 	Fills bool `json:"fills,omitempty"`
-	// MaxAway is how many tasks of a lasting step may be away at once by
-	// the scheduler's doing; 0 is no bound.
+	// MaxUnavailable is how many tasks of a long-running step the scheduler may make
+	// unavailable at once; 0 means no bound.
 	MaxAway int `json:"max_away,omitempty"`
 }
 
-// LastingStep reports whether the step's tasks run until the job is cancelled.
+// IsLongRunning reports whether the step's tasks run until the job is cancelled.
 func (s *Step) LastingStep() bool { return s.Lasting }
 
-// ShortStep reports whether the step's tasks end by themselves and need room of
+// IsShort reports whether the step's tasks end by themselves and need capacity of
 // their own.
 func (s *Step) ShortStep() bool { return !s.Lasting && !s.Fills }
 
-// Estimate returns the submitter's guess of a task's run time.
+// Estimate returns the submitter's estimate of a task's run time.
 func (s *Step) Estimate() time.Duration { return time.Duration(s.EstimateMS) * time.Millisecond }
 
-// Times returns how many times the steps run.
+// OccurrenceCount returns how many times the steps run.
 func (s *Spec) Times() int { return max(s.Occurrences, 1) }
 
 // DueMS returns when an occurrence is due, milliseconds since 1970, or 0 for a
@@ -102,7 +103,7 @@
 	return s.FirstDueMS + int64(occurrence)*s.IntervalMS
 }
 
-// Lasting reports whether a step of the job runs until it is cancelled.
+// LongRunning reports whether a step of the job runs until it is cancelled.
 func (s *Spec) Lasting() bool {
 	for i := range s.Steps {
 		if s.Steps[i].Lasting {
@@ -125,7 +126,7 @@
 	return true
 }
 
-// Validate returns ErrInvalid with the first mistake of the job, or nil.
+// Validate returns ErrInvalid annotated with the first mistake of the job, or nil.
 func (s *Spec) Validate() error {
 	if !ValidID(s.ID) {
 		return errors.Annotatef(ErrInvalid, "id %q is not %d hexadecimal digits", s.ID, IDLength)
@@ -167,7 +168,7 @@
 	return nil
 }
 
-// TaskID names a task.
+// TaskID identifies a task.
 type TaskID struct {
 	Job        string
 	Occurrence int
@@ -187,7 +188,7 @@
 	return string(b)
 }
 
-// ParseTaskID reads what String returns.
+// ParseTaskID parses the form that String returns.
 func ParseTaskID(s string) (TaskID, error) {
 	var t TaskID
 	rest := s
--- a/kv/client.go
+++ b/kv/client.go
@@ -13,7 +13,7 @@
 	"github.com/juju/errors"
 )
 
-// maxAnswer bounds an answer in bytes: a whole cell's journal and snapshot.
+// maxAnswerBytes bounds an answer: the largest holds a cell's whole journal and snapshot.
 const maxAnswer = 64 << 20
 
 // Client is a Store over the JSON gateway at one of several addresses. After
@@ -29,7 +29,7 @@
 }
 
 // NewClient returns a client of the gateway at urls, such as
-// "http://127.0.0.1:2379". Each call but Watch ends after timeout.
+// "http://127.0.0.1:2379". Each call except Watch ends after timeout.
 func NewClient(urls []string, timeout time.Duration, set *metrics.Set) *Client {
 	transport := &http.Transport{MaxIdleConnsPerHost: 16, IdleConnTimeout: time.Minute}
 	return &Client{
@@ -42,7 +42,7 @@
 	}
 }
 
-// Close drops idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 func (c *Client) open(ctx context.Context, path string, in any) (*http.Response, error) {
--- a/kv/wire.go
+++ b/kv/wire.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// The JSON shapes of the etcd v3 gateway (etcd API reference v3.5, generated
+// JSON messages of the etcd v3 gateway (etcd API reference v3.5, generated
 // by grpc-gateway): byte fields are base64, 64-bit numbers are strings.
 
 // Int64 is a 64-bit number that JSON carries as a string.
@@ -13,7 +13,7 @@
 	return strconv.AppendQuote(nil, strconv.FormatInt(int64(n), 10)), nil
 }
 
-// UnmarshalJSON accepts both a quoted and a bare number.
+// UnmarshalJSON accepts both a quoted and an unquoted number.
 func (n *Int64) UnmarshalJSON(b []byte) error {
 	if len(b) >= 2 && b[0] == '"' {
 		b = b[1 : len(b)-1]
@@ -33,7 +33,7 @@
 	PathWatch     = "/v3/watch"
 )
 
-// Names of compare targets and results.
+// Compare targets, compare results, event types and gRPC status codes.
 const (
 	TargetMod      = "MOD"
 	TargetCreate   = "CREATE"
@@ -87,7 +87,7 @@
 	CreateRevision *Int64 `json:"create_revision,omitempty"`
 }
 
-// WireOp is a transaction's operation; one field is set.
+// WireOp is a transaction's operation; exactly one field is set.
 type WireOp struct {
 	Range  *WireRange `json:"request_range,omitempty"`
 	Put    *WirePut   `json:"request_put,omitempty"`
@@ -113,13 +113,13 @@
 	Responses []WireOpResponse `json:"responses,omitempty"`
 }
 
-// WireLease is a lease request or answer. TTL is in seconds.
+// WireLease is a lease request or its answer. TTL is in seconds.
 type WireLease struct {
 	ID  Int64 `json:"ID,omitempty"`
 	TTL Int64 `json:"TTL,omitempty"`
 }
 
-// WireKeepAlive answers a keep-alive; a TTL of zero means no such lease.
+// WireKeepAlive answers a keep-alive; a TTL of zero means that the lease doesn't exist.
 type WireKeepAlive struct {
 	Result WireLease `json:"result"`
 }
@@ -129,7 +129,7 @@
 	Create WireWatchCreate `json:"create_request"`
 }
 
-// WireWatchCreate is a watch's range and start.
+// WireWatchCreate is the key range and the start revision of a watch.
 type WireWatchCreate struct {
 	Key           []byte `json:"key"`
 	RangeEnd      []byte `json:"range_end,omitempty"`
@@ -147,7 +147,7 @@
 	} `json:"result"`
 }
 
-// WireEvent is one change; an empty type is a put.
+// WireEvent is one change; an empty type means a put.
 type WireEvent struct {
 	Type string   `json:"type,omitempty"`
 	Pair WirePair `json:"kv"`
