--- a/dial/client.go
+++ b/dial/client.go
@@ -15,37 +15,35 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Figures of Client.
+// Limits and timeouts of Client.
 const (
-	// lastLook is how long a read goes on after its deadline. Bytes that have
-	// arrived by then are taken at once; a round trip takes 1 to 16 ms. It
-	// keeps a process that is itself late from taking its own lateness for the
-	// peer's silence.
+	// finalReadGrace is how long a read continues after its deadline. Bytes that have
+	// arrived by then are read at once; a round trip takes 1 to 16 ms. Without it, a
+	// process that is itself late would take its own lateness for the peer's silence.
 	lastLook = 25 * time.Millisecond
-	// callAttempts bounds the tries of a call whose connection turns out to
-	// have been closed while it was idle: the other idle ones of the host are
-	// closed before the second try, which opens a new one.
+	// maxCallAttempts bounds the attempts of a call whose connection turns out to
+	// have been closed while it was idle: the other idle connections to the host are
+	// closed before the second attempt, which opens a new one.
 	callAttempts = 2
-	// headerBuffer is for the headers of an answer, which must fit; requestBuffer
-	// is for a request, which is written in one piece if it fits. Each call under
-	// way holds one of both.
+	// headerBufferBytes is for the headers of an answer, which must fit;
+	// requestBufferBytes is for a request, which is written in one piece if it fits.
+	// Each call in progress uses one buffer of both kinds.
 	headerBuffer  = 2048
 	requestBuffer = 4608
-	// leastPerHost connections are open to a host however many hosts there are:
+	// minPerHost connections may be open to a host however many hosts there are:
 	// one that waits for an answer, and one for other calls.
 	leastPerHost = 2
-	// hostForgotten is the time after which an unused host counts no more.
+	// hostUnusedTimeout is the time after which an unused host no longer counts.
 	hostForgotten = 2 * time.Minute
 )
 
-// Client makes short calls to many hosts, on connections that notice
+// Client makes short calls to many hosts, on connections that detect
 // when their peer falls silent. It writes and reads in the calling goroutine,
 // which takes half of the processor time that http.Client takes.
 //
-// A call that times out closes the idle connections to its host: what silenced
-// one of them has often silenced all, and each would cost another timeout. A
-// call has timed out only if nothing has arrived when the process gets to look;
-// see lastLook.
+// A call that times out closes the idle connections to its host: the cause often
+// affects all of them, and each would cost another timeout. A call has timed out
+// only if nothing has arrived by the time the process reads; see finalReadGrace.
 type Client struct {
 	http     fasthttp.Client
 	perHost  int
@@ -54,18 +52,18 @@
 	mu    sync.Mutex // guards what follows
 	conns map[*clientConn]struct{}
 	hosts []calledHost
-	// dialling ends with the next Abort.
+	// dialling is cancelled by the next Abort.
 	dialling     context.Context
 	stopDialling context.CancelFunc
 }
 
-// calledHost is a host that was called, and since when.
+// calledHost is a host that was called, with the time of its first call.
 type calledHost struct {
 	*fasthttp.HostClient
 	since time.Time
 }
 
-// unused reports whether the host has had no connection and no call for long.
+// unused reports whether the host has had no connection and no call for hostUnusedTimeout.
 func (h calledHost) unused(now time.Time) bool {
 	return h.ConnsCount() == 0 && now.Sub(h.since) > hostForgotten && now.Sub(h.LastUseTime()) > hostForgotten
 }
@@ -73,23 +71,24 @@
 // Call is a POST of a JSON body.
 type Call struct {
 	Address, Path string
-	// Header and Value are one header beside the usual ones.
+	// Header and Value are one header in addition to the usual ones.
 	Header, Value string
 	Body          []byte
-	// Once is set for a call that must not be sent again by the client: what a
-	// refusal of it proves holds for one copy only, and the caller counts copies.
+	// Once is set for a call that the client must not send again: a refusal proves
+	// something only for the copy that it answers, and the caller counts copies.
 	Once bool
 	// Timeout bounds the call, opening a connection included.
 	Timeout time.Duration
 }
 
-// Limits bound what a Client holds.
+// Limits bound the resources of a Client.
 type Limits struct {
-	// PerHost is the most connections that are open to a host; further calls to
-	// it wait for one. With many hosts it is lowered so that MostOpen are open to
-	// all of them together, but not below two; 0 is no bound.
+	// PerHost is the maximum number of connections that are open to a host; further
+	// calls to it wait for one. With many hosts it is lowered so that at most MostOpen
+	// connections are open to all of them together, but not below two; a MostOpen of 0
+	// is no bound.
 	PerHost, MostOpen int
-	// MaxAnswer is the most bytes of an answer's body.
+	// MaxAnswer is the maximum size of an answer's body in bytes.
 	MaxAnswer int
 }
 
@@ -106,7 +105,7 @@
 		MaxResponseBodySize:       limits.MaxAnswer,
 		ReadBufferSize:            headerBuffer,
 		WriteBufferSize:           requestBuffer,
-		MaxIdemponentCallAttempts: 1, // Post tries again, and tells so
+		MaxIdemponentCallAttempts: 1, // Post retries itself, and reports how often it sent the call
 		DialTimeout:               func(address string, _ time.Duration) (net.Conn, error) { return c.open(dialer, address) },
 		ConfigureClient: func(host *fasthttp.HostClient) error {
 			host.Transport = closingTransport{}
@@ -117,9 +116,9 @@
 	return c
 }
 
-// Post makes a call and passes its answer to read, which must not keep the
+// Post makes a call and passes its answer to read, which must not retain the
 // body. After an error the call may have been carried out. Post returns how often
-// the call was sent: after more than once, an answer speaks of the last copy only.
+// the call was sent: after more than one copy, an answer is only about the last.
 func (c *Client) Post(call Call, read func(status int, body []byte)) (sent int, err error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -133,7 +132,7 @@
 	return sent, nil
 }
 
-// attempts returns how often the client may send the call.
+// attempts returns how often the client may send the call at most.
 func (call *Call) attempts() int {
 	if call.Once {
 		return 1
@@ -141,7 +140,7 @@
 	return callAttempts
 }
 
-// fill writes the call into a request.
+// buildRequest writes the call into a request.
 func (call *Call) fill(req *fasthttp.Request) {
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.Header.SetContentType("application/json")
@@ -152,8 +151,8 @@
 	req.SetBodyRaw(call.Body)
 }
 
-// send sends a request, and again while its connection turns out to be closed. A try whose
-// connection was found closed before it was used counts as none.
+// send sends a request, and sends it again if its connection turns out to be closed. An
+// attempt whose connection was found closed before it was used does not count as sent.
 func (c *Client) send(req *fasthttp.Request, resp *fasthttp.Response, attempts int, deadline time.Time) (sent int, err error) {
 	for unsent := 0; sent < attempts && unsent < callAttempts; {
 		left := time.Until(deadline)
@@ -174,9 +173,9 @@
 	return sent, err
 }
 
-// addHost counts a host that is called for the first time, and divides MostOpen
-// among all hosts in use. An owner of 890 workers had 3,936 of its 4,100
-// descriptors in use with six connections to each.
+// addHost adds a host that is called for the first time, and divides MostOpen
+// among all hosts in use. With six connections to each of 890 workers, an owner
+// used 3,936 of its 4,100 descriptors.
 func (c *Client) addHost(host *fasthttp.HostClient) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -192,10 +191,10 @@
 	}
 }
 
-// errAborted: Abort came while a connection was being opened.
-var errAborted = errors.New("dial: the call was broken off")
+// errAborted means that Abort was called while a connection was being opened.
+var errAborted = errors.New("dial: the call was aborted")
 
-// Abort breaks off the calls under way and closes all connections. Later calls
+// Abort aborts the calls in progress and closes all connections. Later calls
 // open new ones.
 func (c *Client) Abort() {
 	c.mu.Lock()
@@ -208,9 +207,9 @@
 	c.mu.Unlock()
 	for _, conn := range open {
 		conn.aborted.Store(true)
-		_ = conn.Conn.Close() // its call sees the error
+		_ = conn.Conn.Close() // its call gets the error
 	}
-	// The idle ones must leave the pool: each would cost a later call.
+	// The idle connections must leave the pool: each would fail a later call.
 	c.http.CloseIdleConnections()
 }
 
@@ -234,8 +233,8 @@
 	return cc, nil
 }
 
-// register makes a connection known to Abort. It reports false if Abort was called
-// since the connection began to be opened: the context has ended then.
+// register records a connection for Abort. It returns false if Abort was called
+// since the dial started: the context has ended then.
 func (c *Client) register(ctx context.Context, conn *clientConn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -246,20 +245,20 @@
 	return true
 }
 
-// clientConn is a connection whose reads have a last look, and which notices before a
-// request that the peer has closed it.
+// clientConn is a connection whose reads continue for finalReadGrace after the deadline,
+// and which detects before a request that the peer has closed it.
 type clientConn struct {
 	net.Conn
 	client  *Client
 	aborted atomic.Bool
 	idle    *idleCheck
-	// answered is set from the first bytes of an answer to the next request. One call at a
-	// time uses the connection.
+	// answered is set from the first bytes of an answer until the next request. Only one
+	// call at a time uses the connection.
 	answered bool
 }
 
 // Write implements net.Conn. It fails with errNotSent if the peer closed the connection
-// after the answer before.
+// after the previous answer.
 func (c *clientConn) Write(b []byte) (int, error) {
 	if c.answered && c.idle.closed() {
 		return 0, errNotSent
@@ -273,7 +272,7 @@
 	n, err := c.Conn.Read(b)
 	c.answered = c.answered || n > 0
 	if err != nil && c.aborted.Load() {
-		return n, os.ErrDeadlineExceeded // not taken for a close by the peer, which is tried again
+		return n, os.ErrDeadlineExceeded // a close by the peer would be retried
 	}
 	if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
 		return n, err
@@ -294,8 +293,8 @@
 	return c.Conn.Close()
 }
 
-// closingTransport closes the idle connections of a host after a call that says
-// something of all of them.
+// closingTransport closes the idle connections of a host after a call that failed
+// in a way that probably affects all of them.
 type closingTransport struct{}
 
 // RoundTrip implements fasthttp.RoundTripper.
@@ -307,19 +306,19 @@
 	return retry, err
 }
 
-// closedWhileIdle reports whether the peer had closed the connection, which it
-// may have done while nobody used it.
+// closedWhileIdle reports whether the peer had closed the connection, possibly
+// while it was idle.
 func closedWhileIdle(err error) bool {
 	return errors.Is(err, errNotSent) || errors.Is(err, io.EOF) || errors.Is(err, fasthttp.ErrConnectionClosed) ||
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// Refused reports whether a call failed because its connection was refused: nothing of it was
-// sent.
+// Refused reports whether a call failed because its connection was refused, so that
+// nothing was sent.
 func Refused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// Broken reports whether a call failed because its connection was refused or broken off,
-// so that the process at the other end may have ended; a peer that is cut off is silent.
+// Broken reports whether a call failed because its connection was refused, closed or reset,
+// so that the process at the other end may have ended; a peer that is cut off stays silent.
 func Broken(err error) bool {
 	return err != nil && (closedWhileIdle(err) || Refused(err))
 }
--- a/dial/client_test.go
+++ b/dial/client_test.go
@@ -37,8 +37,8 @@
 	return status, err
 }
 
-// TestClientOneTimeoutForAllSilentConnections is the promise of
-// TestOneTimeoutForAllSilentConnections for Client.
+// TestClientOneTimeoutForAllSilentConnections checks for Client what
+// TestOneTimeoutForAllSilentConnections checks for Transport.
 func TestClientOneTimeoutForAllSilentConnections(t *testing.T) {
 	const connections = 5
 	s := newSilencer(t)
@@ -56,15 +56,15 @@
 	}
 	s.generation.Add(1)
 	if _, err := post(c, s.Addr().String(), 200*time.Millisecond); err == nil {
-		t.Fatal("a silent connection was answered")
+		t.Fatal("a call on a silent connection was answered")
 	}
 	if _, err := post(c, s.Addr().String(), time.Minute); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// TestLastLook: bytes that have arrived are read even if the process looks only
-// after the deadline. Without it, a late process drops sound connections.
+// TestFinalReadAfterDeadline: bytes that have arrived are read even if the process reads
+// only after the deadline. Otherwise a late process drops working connections.
 func TestLastLook(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -94,7 +94,7 @@
 		t.Fatalf("%q, %v", got[:n], err)
 	}
 	if _, err := conn.Read(got); !timedOut(err) {
-		t.Fatalf("a silent peer gives %v", err)
+		t.Fatalf("the read from a silent peer returned %v", err)
 	}
 }
 
@@ -114,8 +114,8 @@
 	}
 }
 
-// TestClientRetriesOnConnectionsClosedWhileIdle fails without the retry: the
-// first call after a reset of all connections is lost.
+// TestClientRetriesOnConnectionsClosedWhileIdle: without the retry, the first call after
+// a reset of all connections is lost.
 func TestClientRetriesOnConnectionsClosedWhileIdle(t *testing.T) {
 	served := 0
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { served++ }))
@@ -130,7 +130,7 @@
 	}
 }
 
-// TestAbort: a call that waits for its answer ends at once.
+// TestAbort: Abort ends a call that waits for its answer.
 func TestAbort(t *testing.T) {
 	arrived, gone := make(chan struct{}, callAttempts), make(chan struct{})
 	srv := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -153,8 +153,8 @@
 }
 
 // TestCallsAfterAbort: the connections that Abort closed are not used again. An
-// owner that was elected again in the same process, within a millisecond, reached
-// no worker for 3.8 s: each poll failed on one more of them.
+// owner that was elected again in the same process within a millisecond reached
+// no worker for 3.8 s, because each poll failed on another closed connection.
 func TestCallsAfterAbort(t *testing.T) {
 	const idle = 4
 	var arrived sync.WaitGroup
@@ -186,8 +186,8 @@
 	}
 }
 
-// TestAbortWhileDialling: a connection that was being opened is not used for the
-// call that was broken off.
+// TestAbortWhileDialling: a connection that was being opened during Abort is not used
+// for the aborted call.
 func TestAbortWhileDialling(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	defer srv.Close()
@@ -198,7 +198,7 @@
 		return nil
 	}
 	if conn, err := c.open(dialer, strings.TrimPrefix(srv.URL, "http://")); err == nil {
-		_ = conn.Close()
+		t.Error("the connection is returned")
 		t.Error("the connection is used")
 	}
 	if len(c.conns) != 0 {
@@ -206,7 +206,7 @@
 	}
 }
 
-// TestAbortEndsDialling: the caller does not wait for a peer that is cut off.
+// TestAbortEndsDialling: after Abort the caller does not wait for a peer that is cut off.
 func TestAbortEndsDialling(t *testing.T) {
 	c := testClient(t, 1)
 	dialer := Dialer(time.Hour)
@@ -253,8 +253,8 @@
 	}
 }
 
-// TestManyHostsShareTheDescriptors: with many hosts each gets fewer connections,
-// but two at the least.
+// TestManyHostsShareDescriptors: with many hosts each gets fewer connections,
+// but at least two.
 func TestManyHostsShareTheDescriptors(t *testing.T) {
 	for _, x := range []struct{ hosts, perHost, mostOpen, want int }{
 		{2, 6, 20, 6}, {4, 6, 20, 5}, {8, 6, 20, 2}, {30, 6, 20, 2}, {30, 6, 0, 6},
@@ -274,8 +274,8 @@
 	}
 }
 
-// TestCallOnceIsSentOnce: a call that must not be repeated reaches the peer once,
-// whatever becomes of its connection.
+// TestOnceCallIsSentOnce: a call that must not be repeated reaches the peer once,
+// also if its connection ends without an answer.
 func TestCallOnceIsSentOnce(t *testing.T) {
 	for _, once := range []bool{true, false} {
 		var arrived atomic.Int32
@@ -297,11 +297,10 @@
 	}
 }
 
-// TestCallOnceIsSentOnAConnectionThatIsOpen: a call that must not be repeated arrives after
-// the peer closed or reset all idle connections: nothing was sent on them.
-//
-// Users would see starts without an answer at each worker after a break of the network. What
-// such a start orders waits until the worker's list tells whether it runs.
+// TestOnceCallUsesOpenConnection: a call that must not be repeated arrives after the peer
+// closed or reset all idle connections, because nothing was sent on them. Otherwise, after
+// a network failure, starts at each worker get no answer, and the runs that they order wait
+// until the worker's list shows whether they run.
 func TestCallOnceIsSentOnAConnectionThatIsOpen(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		var arrived atomic.Int32
@@ -340,7 +339,7 @@
 	}
 }
 
-// awaitClosed waits until the peer's close of all connections has arrived.
+// awaitClosed waits until the peer's close has arrived on all connections.
 func awaitClosed(t *testing.T, c *Client) {
 	t.Helper()
 	c.mu.Lock()
@@ -365,8 +364,8 @@
 	}
 }
 
-// TestBroken: a port where nobody listens and a connection that the peer closes count as
-// broken, one that is silent does not.
+// TestBroken: a refused connection and one that the peer closes count as broken, a silent
+// one does not.
 func TestBroken(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -386,7 +385,7 @@
 		}
 	}()
 	closing <- true
-	close(closing) // later ones are left open, and silent
+	close(closing) // later connections stay open and silent
 	c := testClient(t, 1)
 	call := Call{Address: l.Addr().String(), Path: "/x", Header: "X-Life", Value: "a", Body: []byte("{}"), Once: true, Timeout: 200 * time.Millisecond}
 	if _, err := c.Post(call, func(int, []byte) {}); !Broken(err) || Refused(err) {
@@ -406,10 +405,10 @@
 	}
 }
 
-// TestRequestIsOneWrite: a start with its payload takes one system call to send, and arrives as
-// one piece.
+// TestRequestIsOneWrite: a start with its payload is sent with one system call, and arrives
+// in one piece.
 func TestRequestIsOneWrite(t *testing.T) {
-	const payload = 4000 // bytes, the most that a job may have
+	const payload = 4000 // bytes, the maximum of a job
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/dial/dial.go
+++ b/dial/dial.go
@@ -1,5 +1,5 @@
-// Package dial opens TCP connections, and keeps HTTP connections, that notice
-// when their peer falls silent: a connection can stop carrying packets for good
+// Package dial opens TCP connections, and keeps HTTP connections, that detect
+// when their peer falls silent: a connection can permanently stop carrying packets
 // without a reset, while new ones to the same address work.
 package dial
 
@@ -11,23 +11,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// Figures of the detection of silent connections.
+// Timeouts of the detection of silent connections.
 const (
 	// AckTimeout is how long sent data may stay unacknowledged by the peer's
-	// kernel. Round trips take 1 to 16 ms; a peer that is merely slow to answer
+	// kernel. Round trips take 1 to 16 ms; a peer that is only slow to answer
 	// still acknowledges.
 	AckTimeout = 500 * time.Millisecond
 	// probeIdle and probeInterval are the pauses before and between keep-alive
-	// probes; a second is the least that Linux takes. They cover connections
+	// probes; a second is the minimum of Linux. The probes cover connections
 	// that wait for an answer or are idle.
 	probeIdle     = time.Second
 	probeInterval = time.Second
-	// probeCount probes without an answer end a connection.
+	// probeCount is the number of unanswered probes that end a connection.
 	probeCount = 2
 )
 
-// Dialer returns a dialer whose connections break with an error once their
-// peer is silent. Timeout bounds the opening of a connection.
+// Dialer returns a dialer whose connections fail with an error once their
+// peer is silent. timeout bounds the opening of a connection.
 func Dialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout: timeout,
--- a/dial/dial_test.go
+++ b/dial/dial_test.go
@@ -14,7 +14,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestConnectionsNoticeSilence reads back what the kernel was told.
+// TestConnectionsDetectSilence reads back the socket options from the kernel.
 func TestConnectionsNoticeSilence(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -48,15 +48,15 @@
 	}
 }
 
-// silencer answers requests until its open connections are silenced; later
-// ones are answered again.
+// silentServer answers requests until its open connections are silenced; connections that
+// are opened later are answered again.
 type silencer struct {
 	net.Listener
 	generation atomic.Int64
 	accepted   atomic.Int64
 }
 
-// newSilencer serves on a loopback port until the test ends.
+// newSilentServer serves on a loopback port until the test ends.
 func newSilencer(t *testing.T) *silencer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -98,8 +98,8 @@
 	}
 }
 
-// TestOneTimeoutForAllSilentConnections fails with a shared http.Transport:
-// each of its idle connections costs a timeout of its own.
+// TestOneTimeoutForAllSilentConnections: after a timeout the other idle connections to the
+// host are closed. With a shared http.Transport each of them costs a timeout of its own.
 func TestOneTimeoutForAllSilentConnections(t *testing.T) {
 	const connections = 5
 	s := newSilencer(t)
@@ -132,7 +132,7 @@
 	}
 	s.generation.Add(1)
 	if err := get(200 * time.Millisecond); err == nil {
-		t.Fatal("a silent connection was answered")
+		t.Fatal("a call on a silent connection was answered")
 	}
 	if err := get(time.Minute); err != nil {
 		t.Fatal(err)
--- a/dial/idle.go
+++ b/dial/idle.go
@@ -6,10 +6,10 @@
 	"syscall"
 )
 
-// errNotSent: the peer had closed the connection before anything of the request was written.
+// errNotSent means that the peer had closed the connection before any part of the request was written.
 var errNotSent = errors.New("dial: the peer had closed the connection; nothing was sent")
 
-// idleCheck tells whether the peer has closed a connection that nobody reads.
+// idleCheck detects whether the peer has closed a connection that nobody reads.
 type idleCheck struct {
 	raw  syscall.RawConn
 	look func(fd uintptr)
@@ -18,7 +18,7 @@
 	err  error
 }
 
-// newIdleCheck returns a check of a connection; it finds nothing where there is no socket.
+// newIdleCheck returns a check of a connection; without a socket the check never reports a close.
 func newIdleCheck(conn net.Conn) *idleCheck {
 	c := &idleCheck{}
 	if s, ok := conn.(syscall.Conn); ok {
@@ -30,11 +30,11 @@
 	return c
 }
 
-// closed reports whether the peer has closed the connection, or has reset it. It takes no
+// closed reports whether the peer has closed or reset the connection. It consumes no
 // bytes and does not wait.
 func (c *idleCheck) closed() bool {
 	if c.raw == nil || c.raw.Control(c.look) != nil {
-		return false // a use will tell
+		return false // the next use returns the error
 	}
 	if c.err != nil {
 		return !errors.Is(c.err, syscall.EAGAIN) && !errors.Is(c.err, syscall.EINTR)
--- a/dial/transport.go
+++ b/dial/transport.go
@@ -14,9 +14,8 @@
 )
 
 // Transport is an http.RoundTripper with a pool of connections for each host.
-// A call that times out on a host closes the host's idle connections: what
-// silenced one of them has often silenced all, and each would cost another
-// timeout.
+// A call to a host that times out closes the host's idle connections: the cause
+// often affects all of them, and each would cost another timeout.
 type Transport struct {
 	perHost     int
 	idleTimeout time.Duration
@@ -26,14 +25,14 @@
 	hosts map[string]*host
 }
 
-// host is the pool of one address.
+// host is the connection pool of one address, with the time of its last use.
 type host struct {
 	pool *http.Transport
 	used time.Time
 }
 
-// NewTransport returns a Transport. PerHost is the most idle connections kept
-// to a host, each for idleTimeout at the longest.
+// NewTransport returns a Transport. perHost is the maximum number of idle connections
+// that are kept to a host, each for at most idleTimeout.
 func NewTransport(perHost int, dialTimeout, idleTimeout time.Duration) *Transport {
 	return &Transport{
 		perHost: perHost, idleTimeout: idleTimeout, dialer: Dialer(dialTimeout), hosts: map[string]*host{},
@@ -59,7 +58,7 @@
 	}
 }
 
-// pool returns the pool of an address.
+// pool returns the pool of an address, and creates it if needed.
 func (t *Transport) pool(address string) *http.Transport {
 	now := time.Now()
 	t.mu.Lock()
@@ -79,7 +78,7 @@
 	return h.pool
 }
 
-// forgetUnused drops the pools of addresses that were not called for so long
+// removeUnused removes the pools of addresses that were not called for so long
 // that none of their connections can be open.
 func (t *Transport) forgetUnused(now time.Time) {
 	for address, h := range t.hosts {
@@ -90,8 +89,8 @@
 	}
 }
 
-// timedOut reports whether a call failed because the peer was silent. Failing
-// to open a connection says nothing of those that are open.
+// timedOut reports whether a call failed because the peer was silent. A failed dial
+// is excluded, as it proves nothing about open connections.
 func timedOut(err error) bool {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
