--- a/clock/boot_linux.go
+++ b/clock/boot_linux.go
@@ -6,6 +6,7 @@
 	"golang.org/x/sys/unix"
 )
 
+// bootTime reads the clock that counts the time of suspensions.
 func bootTime() (time.Duration, bool) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
--- a/clock/boot_other.go
+++ b/clock/boot_other.go
@@ -4,5 +4,5 @@
 
 import "time"
 
-// bootTime is not read on other systems: there a suspension is not counted.
+// bootTime reports that no clock counts suspensions on systems other than Linux.
 func bootTime() (time.Duration, bool) { return 0, false }
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,6 +1,6 @@
-// Package clock reads the steady clock of a process, on which leases are held. It
+// Package clock reads the steady clock of a process, which leases are measured by. It
 // counts the time for which the VM was suspended, which the operating system's
-// monotonic clock leaves out: a lease that ended meanwhile would be taken to hold.
+// monotonic clock omits: a lease that expired meanwhile would be taken to be valid.
 package clock
 
 import (
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// Figures of a Clock.
+// Thresholds and intervals of a Clock.
 const (
-	// lookEvery is how often the clock that counts suspensions is read. Each look is a
-	// system call, while the monotonic clock and the time of day need none.
+	// suspensionCheckInterval is how often the clock that counts suspensions is read. Each
+	// check is a system call, while the monotonic clock and the time of day need none.
 	lookEvery = 100 * time.Millisecond
-	// wallJump of the time of day against the monotonic clock is a reason to look at
-	// once: a suspension shows there too.
+	// wallJumpThreshold is the difference between the time of day and the monotonic clock
+	// that causes an immediate check: a suspension shows there too.
 	wallJump = 20 * time.Millisecond
-	// leastAsleep is the shortest suspension that is counted: clocks that are read one
-	// after the other differ by the time between.
+	// minSuspension is the shortest suspension that is counted: the clocks are read one
+	// after the other and differ by the time between the reads.
 	leastAsleep = 5 * time.Millisecond
 )
 
@@ -25,32 +25,32 @@
 type Sources struct {
 	// Monotonic does not count suspensions.
 	Monotonic func() time.Duration
-	// Boot counts suspensions; ok is false where there is no such clock.
+	// Boot counts suspensions; ok is false if the system has no such clock.
 	Boot func() (reading time.Duration, ok bool)
-	// Wall is the time of day, from any beginning.
+	// Wall is the time of day, from any starting point.
 	Wall func() time.Duration
 }
 
-// Clock is a steady clock. Its lock guards the fields below it.
+// Clock is a steady clock. Its mutex guards the fields below it.
 type Clock struct {
 	sources Sources
 
 	mu sync.Mutex
-	// boot is the first reading of Boot less that of Monotonic; known is set if there is
-	// one.
+	// bootOffset is the first reading of Boot minus that of Monotonic; hasBoot is set if
+	// the system has the clock Boot.
 	boot  time.Duration
 	known bool
-	// asleep is for how long the VM has been suspended.
+	// suspended is for how long the VM has been suspended in total.
 	asleep time.Duration
-	// lookedAt and offset are the monotonic clock at the newest look, and the time of
-	// day over it.
+	// checkedAt is the reading of the monotonic clock at the newest check, wallOffset the
+	// difference of the time of day to it.
 	lookedAt, offset time.Duration
 }
 
 // New returns the clock of this process, which starts at 0.
 func New() *Clock { return NewOf(systemSources()) }
 
-// NewOf returns a clock that reads these sources.
+// NewWithSources returns a clock that reads these sources.
 func NewOf(sources Sources) *Clock {
 	c := &Clock{sources: sources}
 	mono := sources.Monotonic()
@@ -61,7 +61,7 @@
 	return c
 }
 
-// Now returns the reading.
+// Now returns the time since the clock started, including suspensions. It never decreases.
 func (c *Clock) Now() time.Duration {
 	mono, wall := c.sources.Monotonic(), c.sources.Wall()
 	c.mu.Lock()
@@ -73,20 +73,20 @@
 	return mono + c.asleep
 }
 
-// look reads whether the VM was suspended. The monotonic clock is read after the other
-// one: a pause between them makes a suspension look shorter, until the next look.
+// checkSuspension reads whether the VM was suspended. The monotonic clock is read after Boot:
+// a pause between the two makes a suspension look shorter, until the next check.
 func (c *Clock) look() {
 	if c.known {
 		boot, _ := c.sources.Boot()
-		if asleep := boot - c.boot - c.sources.Monotonic(); asleep > c.asleep+leastAsleep {
-			c.asleep = asleep
+		if suspended := boot - c.boot - c.sources.Monotonic(); suspended > c.asleep+leastAsleep {
+			c.asleep = suspended
 		}
 	}
 	c.lookedAt = c.sources.Monotonic()
 	c.offset = c.sources.Wall() - c.lookedAt
 }
 
-// Asleep returns for how long the VM has been suspended since the clock began.
+// Suspended returns for how long the VM has been suspended since the clock started.
 func (c *Clock) Asleep() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -7,13 +7,13 @@
 	"pgregory.net/rapid"
 )
 
-// fakeVM has clocks that a test moves.
+// fakeVM is a VM whose clocks a test advances.
 type fakeVM struct {
 	mono, asleep, step time.Duration
-	// noBoot: the system has no clock that counts suspensions.
+	// noBoot is set if the system has no clock that counts suspensions.
 	noBoot bool
 	// pause is added to all clocks when Boot has been read, as if the process was
-	// preempted there.
+	// preempted at that point.
 	pause time.Duration
 }
 
@@ -30,8 +30,8 @@
 	}
 }
 
-// TestSuspensionCounts: the first reading after a suspension counts it, also if the time of
-// day was set back by as much meanwhile, then within lookEvery.
+// TestSuspensionIsCounted: the first reading after a suspension counts it. If the time of day
+// was set back by the same amount meanwhile, the next periodic check counts it.
 func TestSuspensionCounts(t *testing.T) {
 	for name, x := range map[string]struct{ step, within time.Duration }{
 		"time of day goes on":     {0, 0},
@@ -48,16 +48,16 @@
 			f.asleep, f.step = 5*time.Second, x.step
 			f.mono += x.within
 			if got := c.Now(); got != f.mono+f.asleep {
-				t.Errorf("%v after it, want %v", got, f.mono+f.asleep)
+				t.Errorf("%v after the suspension, want %v", got, f.mono+f.asleep)
 			}
 			if got := c.Asleep(); got != f.asleep {
-				t.Errorf("asleep for %v, want %v", got, f.asleep)
+				t.Errorf("suspended for %v, want %v", got, f.asleep)
 			}
 		})
 	}
 }
 
-// TestJumpsOfTheTimeOfDayDoNotCount, nor do pauses of the process.
+// TestWallClockJumpsAreNotCounted: neither jumps of the time of day nor pauses of the process count.
 func TestJumpsOfTheTimeOfDayDoNotCount(t *testing.T) {
 	f := &fakeVM{mono: time.Minute}
 	c := NewOf(f.sources())
@@ -71,7 +71,7 @@
 	}
 }
 
-// TestSystemWithoutBootClock: the monotonic clock is all there is.
+// TestSystemWithoutBootClock: without Boot only the monotonic clock counts.
 func TestSystemWithoutBootClock(t *testing.T) {
 	f := &fakeVM{mono: time.Minute, noBoot: true}
 	c := NewOf(f.sources())
@@ -82,8 +82,8 @@
 	}
 }
 
-// TestClockNeverGoesBack, whatever happens to the clocks, and is never ahead of the time that
-// has passed, suspensions included.
+// TestClockIsMonotonic: whatever happens to the clocks, the reading never decreases, and is
+// never ahead of the time that has passed, suspensions included.
 func TestClockNeverGoesBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := &fakeVM{mono: time.Minute}
@@ -110,7 +110,7 @@
 			}
 			last = now
 		}
-		f.pause = 0 // a pause between two readings hides a suspension until the next look
+		f.pause = 0 // a pause between two readings hides a suspension until the next check
 		f.mono += lookEvery
 		if now := c.Now(); f.mono+f.asleep-now > leastAsleep {
 			t.Fatalf("%v when %v have passed", now, f.mono+f.asleep)
@@ -118,7 +118,7 @@
 	})
 }
 
-// TestClockOfTheSystem reads the real clocks.
+// TestSystemClock reads the real clocks.
 func TestClockOfTheSystem(t *testing.T) {
 	c := New()
 	a := c.Now()
--- a/clock/system_suspendable.go
+++ b/clock/system_suspendable.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// SuspendedFile names a file in the environment that holds for how many nanoseconds, in
-// eight bytes, the monotonic clock of this process has been held back: a program built
-// with the tag suspendable takes them for a suspension of its VM, which tests can't
-// bring about.
+// SuspendedFile is the environment variable that names a file with the number of
+// nanoseconds, in eight bytes, by which the monotonic clock of this process has been held
+// back. A program built with the tag suspendable takes them for a suspension of its VM,
+// which tests can't cause.
 const SuspendedFile = "LEVERSTILE_TEST_SUSPENDED"
 
-// systemSources returns the clocks of the operating system, of which the monotonic one
-// leaves out the time in the file.
+// systemSources returns the clocks of the operating system; the monotonic one omits the
+// time in the file.
 func systemSources() Sources {
 	start := time.Now()
 	name := os.Getenv(SuspendedFile)
