--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// TestClockIsMonotonic: whatever happens to the clocks, the reading never decreases, and is
+// TestClockNeverGoesBack: whatever happens to the clocks, the reading never decreases, and is
 // never ahead of the time that has passed, suspensions included.
 func TestClockNeverGoesBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// TestFiveMistakes: all are told at once, each with its place and number.
+// TestFiveMistakes: all mistakes are reported at once, each with its path, line and column.
 func TestFiveMistakes(t *testing.T) {
 	text := `{
   "id": "Entry 1",
@@ -134,7 +134,7 @@
 	}
 }
 
-// TestExamples: what the repository ships is right.
+// TestExamples: the settings and declarations in examples/ are valid.
 func TestExamples(t *testing.T) {
 	entries, err := filepath.Glob("../examples/entry-*.jsonc")
 	if err != nil || len(entries) != 3 {
@@ -183,7 +183,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		// What was accepted is accepted again in its canonical form.
+		// Accepted declarations are accepted again in their canonical form.
 		if _, again := ParseDeclarations([]File{{"f", doc}}, nil); len(again.Errors()) > 0 {
 			t.Errorf("canonical form is refused: %v\n%s", again, doc)
 		}
--- a/config/declarations.go
+++ b/config/declarations.go
@@ -17,7 +17,7 @@
 // Class is a group's priority class.
 type Class string
 
-// Priority classes, the most important first.
+// Priority classes, highest priority first.
 const (
 	LatencyCritical Class = "latency-critical"
 	Standard        Class = "standard"
@@ -48,13 +48,13 @@
 	Connections int    `json:"connections"`
 	TimeoutMS   int    `json:"timeout_ms,omitempty"`
 	Attempts    int    `json:"attempts,omitempty"`
-	// RetryRatio bounds retries as a part of requests.
+	// RetryRatio bounds retries as a fraction of requests.
 	RetryRatio float64          `json:"retry_ratio,omitempty"`
 	Repeatable []RepeatableRule `json:"repeatable,omitempty"`
 }
 
-// Selector binds labelled work to a group and, for tasks, to VMs. Where several
-// match, the one with the lowest Order counts.
+// Selector binds labelled work to a group and, for tasks, to VMs. If several
+// match, the one with the lowest Order applies.
 type Selector struct {
 	Name  string `json:"name"`
 	Match string `json:"match"`
@@ -63,13 +63,13 @@
 	Order int    `json:"order,omitempty"`
 }
 
-// Cell is a set of VMs whose batch work is decided together.
+// Cell is a set of VMs whose batch work is scheduled together.
 type Cell struct {
 	Name string `json:"name"`
 	VMs  string `json:"vms"`
 }
 
-// Declarations are all that operators declare.
+// Declarations are everything that operators declare.
 type Declarations struct {
 	Groups    []Group    `json:"groups,omitempty"`
 	Services  []Service  `json:"services,omitempty"`
@@ -77,8 +77,8 @@
 	Cells     []Cell     `json:"cells,omitempty"`
 }
 
-// ParseDeclarations reads files as one set and checks it whole. vms may be nil;
-// otherwise selectors that match none of them are warned of. The problems hold
+// ParseDeclarations parses files as one set and checks them together. vms may be nil;
+// otherwise selectors that match none of them cause warnings. The problems hold
 // errors and warnings; the declarations are valid only without errors.
 func ParseDeclarations(files []File, vms []fleet.VM) (*Declarations, Problems) {
 	all := &Declarations{}
@@ -97,18 +97,21 @@
 	return all, problems
 }
 
+// location is where a name is declared.
 type place struct {
 	doc     *document
 	pointer string
 }
 
+// checker checks the declarations of all files against each other.
 type checker struct {
 	all  *Declarations
 	vms  []fleet.VM
 	docs []*document
-	at   map[string]place // "groups/name" to where it is declared
+	at   map[string]place // where "groups/name" and so on are declared
 }
 
+// merge adds the declarations of one document and reports names that are declared twice.
 func (c *checker) merge(d *document, part *Declarations) {
 	for i, g := range part.Groups {
 		c.named(d, "groups", i, g.Name)
@@ -128,6 +131,7 @@
 	c.all.Cells = append(c.all.Cells, part.Cells...)
 }
 
+// declare records where a name is declared, and reports a name that is declared already.
 func (c *checker) named(d *document, section string, i int, name string) {
 	pointer := fmt.Sprintf("/%s/%d", section, i)
 	key := section + "/" + name
@@ -174,6 +178,7 @@
 	return ok
 }
 
+// cyclic reports whether the group is its own ancestor.
 func (c *checker) cyclic(g Group) bool {
 	parent := map[string]string{}
 	for _, o := range c.all.Groups {
@@ -245,6 +250,7 @@
 	}
 }
 
+// parseSelector parses a label selector and reports its mistakes; it returns nil for a bad one.
 func (c *checker) selector(key, field, text string, ofVMs bool) labels.Selector {
 	sel, err := labels.Parse(text)
 	if err != nil {
@@ -266,7 +272,7 @@
 	return false
 }
 
-// VMLabels are a VM's labels together with "vm", "place" and "rack".
+// VMLabels returns a VM's labels together with "vm", "place" and "rack".
 func VMLabels(vm fleet.VM) labels.Set {
 	set := labels.Set{"vm": vm.ID, "place": vm.Place, "rack": vm.Rack}
 	for k, v := range vm.Labels {
@@ -275,8 +281,8 @@
 	return set
 }
 
-// Disjoint reports whether no set of labels can match both selectors. It only
-// looks at one key at a time and so may miss some; false means "may overlap".
+// Disjoint reports whether no set of labels can match both selectors. It compares
+// one key at a time and so may miss some cases; false means "may overlap".
 func Disjoint(a, b labels.Selector) bool {
 	ra, _ := a.Requirements()
 	rb, _ := b.Requirements()
@@ -290,6 +296,7 @@
 	return false
 }
 
+// excludes reports whether no label value meets both requirements, which have the same key.
 func excludes(x, y labels.Requirement) bool {
 	if positive(x) && positive(y) {
 		return x.Values().Intersection(y.Values()).Len() == 0
@@ -297,6 +304,7 @@
 	return oneExcludes(x, y) || oneExcludes(y, x)
 }
 
+// requiresListedValue reports whether a requirement demands one of its listed values.
 func positive(r labels.Requirement) bool {
 	switch r.Operator() {
 	case selection.In, selection.Equals, selection.DoubleEquals:
@@ -306,7 +314,7 @@
 	}
 }
 
-// oneExcludes: x demands what y forbids.
+// oneExcludes reports whether x demands what y forbids.
 func oneExcludes(x, y labels.Requirement) bool {
 	switch y.Operator() {
 	case selection.DoesNotExist:
@@ -334,7 +342,7 @@
 }
 
 // IsRepeatable reports whether a request may be sent more than once. Without
-// rules, GET, HEAD and OPTIONS may (RFC 9110, section 9.2.2, leaving out PUT
+// rules, GET, HEAD and OPTIONS may (RFC 9110, section 9.2.2, without PUT
 // and DELETE, which many services don't make idempotent).
 func (s *Service) IsRepeatable(method, path string) bool {
 	if len(s.Repeatable) == 0 {
@@ -353,7 +361,7 @@
 	return false
 }
 
-// Binder finds the group of labelled work.
+// Binder finds the group and the class of labelled work.
 type Binder struct {
 	selectors []boundSelector
 	classes   map[string]Class
@@ -364,7 +372,7 @@
 	match labels.Selector
 }
 
-// NewBinder returns a Binder for checked declarations.
+// NewBinder returns a Binder for declarations that have been checked.
 func NewBinder(d *Declarations) (*Binder, error) {
 	b := &Binder{classes: map[string]Class{}}
 	for _, g := range d.Groups {
@@ -381,7 +389,7 @@
 	return b, nil
 }
 
-// Bind returns the selector that claims work with these labels, or nil.
+// Bind returns the first selector in Order that matches these labels, or nil.
 func (b *Binder) Bind(work map[string]string) *Selector {
 	for i := range b.selectors {
 		if b.selectors[i].match.Matches(labels.Set(work)) {
--- a/config/document.go
+++ b/config/document.go
@@ -1,5 +1,5 @@
-// Package config reads settings of a process and operators' declarations:
-// JSON with comments, checked as a whole, each mistake with its place.
+// Package config parses the settings of a process and the operators' declarations:
+// JSON with comments, checked as a whole; each mistake is reported with its location.
 package config
 
 import (
@@ -48,7 +48,7 @@
 	return fmt.Sprintf("%s:%d:%d: %s%s: %s: %s", p.File, p.Line, p.Column, level, p.Code, p.Path, p.Message)
 }
 
-// Problems are the mistakes of a set of files. As an error it lists them all.
+// Problems are the mistakes in a set of files. As an error it lists them all.
 type Problems []Problem
 
 // Error implements error.
@@ -82,7 +82,7 @@
 	Text []byte
 }
 
-// document is a parsed file that knows where its values stand.
+// document is a parsed file that has the positions of its values.
 type document struct {
 	file     File
 	code     result.Code
@@ -92,8 +92,8 @@
 
 var positionInError = regexp.MustCompile(`line (\d+), column (\d+): (.*)`)
 
-// parse reads one file and checks it against a schema. The returned document
-// has problems where it failed; then out is not to be used.
+// parse parses one file and checks it against a schema. If the returned document
+// has problems, out must not be used.
 func parse(f File, code result.Code, schema string, out any) *document {
 	d := &document{file: f, code: code}
 	root, err := hujson.Parse(f.Text)
@@ -120,6 +120,7 @@
 	return d
 }
 
+// syntaxError adds a syntax error, with the position that the parser's message gives.
 func (d *document) syntaxError(err error) {
 	p := Problem{File: d.file.Name, Line: 1, Column: 1, Code: d.code, Path: "/", Message: err.Error()}
 	if m := positionInError.FindStringSubmatch(err.Error()); m != nil {
@@ -149,6 +150,7 @@
 	})
 }
 
+// offset returns the byte offset of the value at a pointer, or of the root if there is none.
 func (d *document) offset(pointer string) int {
 	if v := d.root.Find(pointer); v != nil {
 		return v.StartOffset
@@ -163,8 +165,8 @@
 	return line, column
 }
 
-// duplicateKeys reports keys that stand twice in one object; JSON decoders
-// would silently take the last.
+// duplicateKeys reports keys that occur twice in one object; JSON decoders
+// would silently use the last.
 func (d *document) duplicateKeys(v *hujson.Value, pointer string) {
 	switch node := v.Value.(type) {
 	case *hujson.Object:
@@ -193,6 +195,7 @@
 	return ""
 }
 
+// escape escapes a name for use in a JSON pointer.
 func escape(name string) string {
 	return strings.NewReplacer("~", "~0", "/", "~1").Replace(name)
 }
@@ -228,6 +231,7 @@
 
 var printer = message.NewPrinter(language.English)
 
+// collectViolations adds a problem for each leaf of a schema validation error.
 func (d *document) collect(ve *jsonschema.ValidationError) {
 	if len(ve.Causes) > 0 {
 		for _, c := range ve.Causes {
@@ -248,6 +252,7 @@
 	d.add(pointer, "%s", ve.ErrorKind.LocalizedString(printer))
 }
 
+// unknownKey reports a key that the schema does not allow, at the position of the key.
 func (d *document) unknownKey(pointer, name string) {
 	allowed := "unknown key"
 	offset := d.offset(pointer + "/" + escape(name))
--- a/config/settings.go
+++ b/config/settings.go
@@ -8,7 +8,7 @@
 	"leverstile.dev/api/result"
 )
 
-// Settings are those of one entry process. Times are in milliseconds.
+// Settings are the settings of one entry process. Times are in milliseconds.
 type Settings struct {
 	ID     string `json:"id"`
 	Place  string `json:"place"`
@@ -30,14 +30,14 @@
 		BodyBytes   int64 `json:"body_bytes"`
 		HeaderBytes int   `json:"header_bytes"`
 		// ReplayBytes is how much of a body is kept so that the request can be
-		// sent again; larger ones get one attempt.
+		// sent again; a request with a larger body gets one attempt.
 		ReplayBytes int `json:"replay_bytes"`
 		Queue       int `json:"queue"`
 		ClaimShards int `json:"claim_shards"`
 	} `json:"limits"`
 	Timing struct {
 		CommitEveryMS int `json:"commit_every_ms"`
-		// ClaimCommitEveryMS is for claim shards, as requests wait for their commits.
+		// ClaimCommitEveryMS applies to claim shards, because requests wait for their commits.
 		ClaimCommitEveryMS int `json:"claim_commit_every_ms"`
 		ExchangeEveryMS    int `json:"exchange_every_ms"`
 		TaskLeaseMS        int `json:"task_lease_ms"`
@@ -52,10 +52,10 @@
 	} `json:"log"`
 }
 
-// Ms converts milliseconds.
+// Ms converts milliseconds to a duration.
 func Ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// DefaultSettings are used for all that a file leaves out.
+// DefaultSettings returns the settings that apply where a file has none.
 func DefaultSettings() *Settings {
 	s := &Settings{}
 	s.Store.TimeoutMS = 2000
@@ -79,7 +79,7 @@
 	return s
 }
 
-// ParseSettings reads and checks settings. The error is Problems with every
+// ParseSettings parses and checks settings. The error is a Problems with every
 // mistake found.
 func ParseSettings(f File) (*Settings, error) {
 	s := DefaultSettings()
@@ -93,6 +93,7 @@
 	return s, nil
 }
 
+// checkSettings reports mistakes that the schema can't express.
 func (d *document) checkSettings(s *Settings) {
 	used := map[string]string{}
 	d.address("/listen/callers", s.Listen.Callers, used)
@@ -112,6 +113,7 @@
 	}
 }
 
+// checkAddress reports an address that is malformed or used twice.
 func (d *document) address(pointer, addr string, used map[string]string) {
 	ap, err := netip.ParseAddrPort(addr)
 	if err != nil || ap.Port() == 0 {
--- a/dial/client_test.go
+++ b/dial/client_test.go
@@ -198,7 +198,7 @@
 		return nil
 	}
 	if conn, err := c.open(dialer, strings.TrimPrefix(srv.URL, "http://")); err == nil {
-		t.Error("the connection is returned")
+		_ = conn.Close()
 		t.Error("the connection is used")
 	}
 	if len(c.conns) != 0 {
--- a/fleet/client.go
+++ b/fleet/client.go
@@ -20,7 +20,7 @@
 	PathVMs  = "/v1/vms"
 )
 
-// maxReply bounds an answer in bytes.
+// maxReplyBytes bounds an answer.
 const maxReply = 16 << 20
 
 // Client calls workers and the VM list over HTTP with JSON.
@@ -30,7 +30,7 @@
 	timeout time.Duration
 	calls   *metrics.Counter
 
-	// The last VM list and its ETag: an unchanged list is not sent again.
+	// The last VM list and its ETag, with which an unchanged list is not transferred again.
 	mu   sync.Mutex
 	etag string
 	vms  []VM
@@ -58,11 +58,11 @@
 	}
 }
 
-// Close drops idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Sync implements Workers. An error means that the request may or may not
-// have been taken; the next one tells.
+// Sync implements Workers. After an error the request may or may not have been
+// carried out; the reply to the next one shows which.
 func (c *Client) Sync(ctx context.Context, address string, req *SyncRequest) (*SyncReply, error) {
 	body, err := json.Marshal(req)
 	if err != nil {
@@ -82,7 +82,7 @@
 	return reply, err
 }
 
-// VMs implements VMList. A list that has not changed is not sent again.
+// VMs implements VMList. An unchanged list is not transferred again.
 func (c *Client) VMs(ctx context.Context) ([]VM, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -90,14 +90,14 @@
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	etag, known := c.lastList()
+	etag, cached := c.lastList()
 	if etag != "" {
 		hr.Header.Set("If-None-Match", etag)
 	}
 	var vms []VM
 	header, err := c.do(hr, &vms)
 	if errors.Is(err, errNotModified) {
-		return known, nil
+		return cached, nil
 	}
 	if err != nil {
 		return nil, err
@@ -114,6 +114,7 @@
 	return c.etag, c.vms
 }
 
+// errNotModified means that the server reported an unchanged ETag.
 const errNotModified = errors.ConstError("not modified")
 
 func (c *Client) do(req *http.Request, out any) (http.Header, error) {
--- a/fleet/count.go
+++ b/fleet/count.go
@@ -6,13 +6,14 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
+// countedConn is a connection whose bytes are counted.
 type countedConn struct {
 	net.Conn
 	sent, read *metrics.Counter
 }
 
-// CountConn returns conn with its bytes counted, headers and all: control
-// traffic is held against a limit. A nil conn stays nil.
+// CountConn returns conn with all its bytes counted, headers included, because
+// control traffic has a limit. A nil conn stays nil.
 func CountConn(conn net.Conn, sent, read *metrics.Counter) net.Conn {
 	if conn == nil {
 		return nil
--- a/fleet/platform.go
+++ b/fleet/platform.go
@@ -31,7 +31,7 @@
 	return r.CPUMilli <= o.CPUMilli && r.MemoryMiB <= o.MemoryMiB && r.Accelerators <= o.Accelerators
 }
 
-// IsZero reports whether r is nothing.
+// IsZero reports whether all amounts of r are zero.
 func (r Resources) IsZero() bool { return r == Resources{} }
 
 // VMState is a VM's state in the platform's list.
@@ -49,8 +49,8 @@
 	Address string `json:"address"`
 }
 
-// VM is one entry of the platform's list. A VM that has been listed and no
-// longer is has been stopped; ids are never used again.
+// VM is one item of the platform's list. A VM that was listed and no longer is
+// has been stopped; ids are never reused.
 type VM struct {
 	ID        string            `json:"id"`
 	Place     string            `json:"place"`
@@ -63,12 +63,12 @@
 	Endpoints []EndpointAddr    `json:"endpoints,omitempty"`
 }
 
-// VMList reads the platform's list, which lags behind.
+// VMList reads the platform's list, which may be out of date.
 type VMList interface {
 	VMs(ctx context.Context) ([]VM, error)
 }
 
-// AttemptRef names one attempt of a task.
+// AttemptRef identifies one attempt of a task.
 type AttemptRef struct {
 	Task    string `json:"task"`
 	Attempt uint32 `json:"attempt"`
@@ -89,33 +89,33 @@
 	Checkpoint []byte    `json:"checkpoint,omitempty"`
 }
 
-// SyncRequest is everything that a cell's owner tells a worker at once.
+// SyncRequest is everything that a cell's owner sends to a worker in one call.
 //
-// Fences: a worker takes a request only if (Term, Seq) is greater than any it
-// has taken for Cell. Starts and the lease are taken only if Boot is the
-// worker's incarnation and its clock has not passed LeaseUntilMS. All is safe
-// to repeat.
+// Fencing: a worker accepts a request only if (Term, Seq) is greater than any it
+// has accepted for Cell. Starts and the lease are accepted only if Boot is the
+// worker's incarnation and its clock has not passed LeaseUntilMS. Every request
+// is safe to repeat.
 type SyncRequest struct {
 	Cell string `json:"cell"`
 	Term uint64 `json:"term"`
 	Seq  uint64 `json:"seq"`
 	Boot uint64 `json:"boot,omitempty"`
 	// LeaseUntilMS is a reading of the worker's own clock, until which all tasks
-	// of Cell may run. Zero leaves the lease as it is.
+	// of Cell may run. Zero leaves the lease unchanged.
 	LeaseUntilMS int64        `json:"lease_until_ms,omitempty"`
 	Starts       []Start      `json:"starts,omitempty"`
 	Stops        []AttemptRef `json:"stops,omitempty"`
-	// Throttled lists the attempts to slow down, all others run freely.
+	// Throttled lists the attempts to slow down; all others run at full speed.
 	Throttled []AttemptRef `json:"throttled,omitempty"`
 	// Acks lists ended attempts that the owner has recorded; the worker forgets them.
 	Acks []AttemptRef `json:"acks,omitempty"`
 	// Full asks for the list of running attempts.
 	Full bool `json:"full,omitempty"`
-	// WaitMS lets the worker hold its answer until something changes.
+	// WaitMS lets the worker delay its answer until something changes.
 	WaitMS int64 `json:"wait_ms,omitempty"`
 }
 
-// AttemptState is how an attempt stands at its worker.
+// AttemptState is the state of an attempt at its worker.
 type AttemptState string
 
 // States of an attempt at a worker.
@@ -123,9 +123,9 @@
 	AttemptRunning  AttemptState = "running"
 	AttemptFinished AttemptState = "finished"
 	AttemptFailed   AttemptState = "failed"
-	// AttemptStopped: ended before its work was done, with a checkpoint.
+	// AttemptStopped means that it ended before its work was done, with a checkpoint.
 	AttemptStopped AttemptState = "stopped"
-	// AttemptRefused: never began.
+	// AttemptRefused means that it never started.
 	AttemptRefused AttemptState = "refused"
 )
 
@@ -135,12 +135,12 @@
 	State      AttemptState `json:"state"`
 	Checkpoint []byte       `json:"checkpoint,omitempty"`
 	Detail     string       `json:"detail,omitempty"`
-	// Given is the room that a running attempt holds at the worker.
+	// Given is the capacity that a running attempt holds at the worker.
 	Given Resources `json:"given,omitzero"`
 }
 
-// Usage is what an attempt used on average up to the time AtMS, a reading of
-// the worker's clock that may lie well in the past.
+// Usage is the average usage of an attempt up to the time AtMS, a reading of
+// the worker's clock that may be far in the past.
 type Usage struct {
 	Task string    `json:"task"`
 	Kind string    `json:"kind"`
@@ -148,8 +148,8 @@
 	AtMS int64     `json:"at_ms"`
 }
 
-// Slowdown is how much slower a service's requests ran on this VM than alone
-// (1 is not slower), measured at AtMS under Load (0 to 1 of the service's peak).
+// Slowdown is the factor by which a service's requests ran slower on this VM than without
+// tasks beside it (1 is not slower), measured at AtMS under Load (0 to 1 of the service's peak).
 type Slowdown struct {
 	Service string  `json:"service"`
 	Factor  float64 `json:"factor"`
@@ -157,10 +157,10 @@
 	AtMS    int64   `json:"at_ms"`
 }
 
-// Refusal says why a worker took nothing of a request.
+// Refusal is why a worker accepted nothing of a request.
 type Refusal string
 
-// Reasons of a refusal.
+// Reasons for a refusal.
 const (
 	RefusedStale Refusal = "stale" // an older term or sequence number
 	RefusedCell  Refusal = "cell"  // the worker still runs tasks of another cell
@@ -173,7 +173,7 @@
 	ClockMS int64   `json:"clock_ms"`
 	// RunningHash is the sum of the hashes of all running attempts.
 	RunningHash uint64 `json:"running_hash"`
-	// Running lists them where the request asked for Full.
+	// Running lists the running attempts if the request asked for Full.
 	Running []Report `json:"running,omitempty"`
 	// Ended lists ended attempts until they are acknowledged, and the starts of
 	// this request that were refused.
--- a/job/config.go
+++ b/job/config.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Queue is where jobs are submitted; it names the group whose share they use.
+// Queue is where jobs are submitted; its name is the group that they are counted for.
 type Queue struct {
 	Name       string
 	Host       string
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -8,8 +8,8 @@
 	"github.com/phuslu/log"
 )
 
-// New returns a logger that writes JSON lines to out without ever
-// blocking, and a function that writes out what still waits.
+// New returns a logger that writes JSON lines to out without ever blocking,
+// and a function that flushes the queued lines and closes the log.
 func New(out io.Writer, level, entry string, set *metrics.Set) (*log.Logger, func()) {
 	q := newQueue(out, set.NewCounter(droppedTotal))
 	l := &log.Logger{
--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -12,10 +12,10 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// An entry that was being stopped ended with a panic, "send on closed channel": a call that
-// outlasted the drain logged its end while the last lines were written out. Customers saw
-// the connections that were still open break off. The race detector, in entries under
-// hundreds of calls a second, reported that send beside the close.
+// TestLinesDuringClose guards against a panic, "send on closed channel", in a stopping entry:
+// a call that outlasts the drain logs its end while the log is closed. The panic breaks the
+// customers' open connections. The race detector reports that send beside the close in entries
+// under hundreds of calls a second.
 func TestLinesWhileTheLogIsClosed(t *testing.T) {
 	const rounds, writers, lines = 20, 8, 200
 	for range rounds {
@@ -40,21 +40,21 @@
 	}
 }
 
-// TestLineAfterClose: a goroutine that the process does not wait for at its end may log
-// after the log is closed; that ends nothing.
+// TestLineAfterClose: a goroutine that the process does not wait for may log after the log is
+// closed; that must not end the process.
 func TestLineAfterClose(t *testing.T) {
 	l, closeLog := New(io.Discard, "info", "entry-0", metrics.NewSet())
 	closeLog()
 	defer func() {
 		if r := recover(); r != nil {
-			t.Errorf("a line after the close panics: %v", r)
+			t.Errorf("a line after the close causes a panic: %v", r)
 		}
 	}()
 	l.Info().Msg("late")
 }
 
-// TestLinesStayWhole: lines of many goroutines come out whole, each once, or are counted as
-// dropped.
+// TestLinesStayWhole: lines of many goroutines are each written whole and once, or are counted
+// as dropped.
 func TestLinesStayWhole(t *testing.T) {
 	const writers, lines = 8, 5000
 	set := metrics.NewSet()
@@ -80,7 +80,7 @@
 			t.Fatalf("%q: %v", text, err)
 		}
 		if line.Again != fmt.Sprint(line.Writer, "/", line.N) || seen[line.Again] {
-			t.Fatalf("%q is of two lines, or came twice", text)
+			t.Fatalf("%q mixes two lines, or was written twice", text)
 		}
 		seen[line.Again] = true
 	}
@@ -90,7 +90,7 @@
 	}
 }
 
-// A writer that stands still holds up nobody: lines beyond the queue are dropped.
+// TestLogNeverBlocks: a blocked writer delays no caller, as lines beyond the queue are dropped.
 func TestLogNeverBlocks(t *testing.T) {
 	set := metrics.NewSet()
 	stuck := &stuckWriter{release: make(chan struct{})}
@@ -106,6 +106,7 @@
 	closeLog()
 }
 
+// blockedWriter blocks each write until it is released.
 type stuckWriter struct{ release chan struct{} }
 
 func (w *stuckWriter) Write(p []byte) (int, error) {
@@ -113,7 +114,7 @@
 	return len(p), nil
 }
 
-// BenchmarkLine is a line of a decision, written to nowhere.
+// BenchmarkLine logs a line of a decision to a writer that discards it.
 func BenchmarkLine(b *testing.B) {
 	l, closeLog := New(io.Discard, "info", "edge-a-1", metrics.NewSet())
 	defer closeLog()
--- a/logging/queue.go
+++ b/logging/queue.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	// queueLength is how many log lines may wait for the writer. More are dropped and
-	// counted: logging must not hold up a request.
+	// queueLength is how many log lines may wait for the writer. Further lines are dropped
+	// and counted: logging must not delay a request.
 	queueLength = 8192
-	// writeBytes is the size from which lines that wait are no longer gathered into one
+	// maxBatchBytes is the size from which waiting lines are no longer added to a
 	// write.
 	writeBytes = 32 << 10
-	// droppedTotal counts the lines that were dropped.
+	// droppedTotal is the metric that counts dropped lines.
 	droppedTotal = "leverstile_log_dropped_total"
 )
 
-// queue is an io.Writer of lines that never waits: one goroutine writes copies of them out.
+// queue is an io.Writer of lines that never blocks: one goroutine writes copies of them out.
 // The log library's own asynchronous writer is not used, because it keeps using a line's
-// buffer after it has handed it over, and panics when a line comes while it is closed.
+// buffer after it has passed it on, and panics when a line arrives while it is closed.
 type queue struct {
 	out     io.Writer
 	dropped *metrics.Counter
 	lines   chan *bytebufferpool.ByteBuffer
 	written chan struct{} // closed once all lines are written out
 
-	// open is held for reading while a line is queued, which never waits. It guards closed.
+	// mu is held for reading while a line is queued, which never blocks. It guards closed.
 	open   sync.RWMutex
 	closed bool
 }
@@ -43,8 +43,8 @@
 	return q
 }
 
-// Write implements io.Writer. A line that finds no room, or comes after close, is dropped
-// and counted.
+// Write implements io.Writer. A line that arrives when the queue is full or closed is
+// dropped and counted.
 func (q *queue) Write(line []byte) (int, error) {
 	q.open.RLock()
 	defer q.open.RUnlock()
@@ -63,7 +63,7 @@
 	return len(line), nil
 }
 
-// close waits until what was queued is written out.
+// close waits until all queued lines are written out.
 func (q *queue) close() {
 	q.open.Lock()
 	if !q.closed {
@@ -74,7 +74,7 @@
 	<-q.written
 }
 
-// writeOut writes lines, those that wait together in one call.
+// writeOut writes the queued lines, combining waiting ones into one write.
 func (q *queue) writeOut() {
 	defer close(q.written)
 	var batch []byte
@@ -82,12 +82,12 @@
 		batch = append(batch[:0], line.B...)
 		bytebufferpool.Put(line)
 		batch = q.gather(batch)
-		// There is no other place to tell of a failure.
+		// The log has no other output to report a failure to.
 		_, _ = q.out.Write(batch)
 	}
 }
 
-// gather appends the lines that wait, up to writeBytes.
+// gather appends the waiting lines, until the batch reaches maxBatchBytes.
 func (q *queue) gather(batch []byte) []byte {
 	for len(batch) < writeBytes {
 		select {
--- a/trace/trace.go
+++ b/trace/trace.go
@@ -1,5 +1,5 @@
 // Package trace reads recorded traces: a JSON header on the first line, then one
-// JSON line for each thing that happens.
+// JSON line for each event.
 package trace
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/juju/errors"
 )
 
-// maxLine bounds a line in bytes.
+// maxLineBytes bounds a line.
 const maxLine = 16 << 20
 
 // ReadFile reads the trace in a file.
@@ -26,7 +26,7 @@
 	return Read[H, L](f)
 }
 
-// ReadWant reads the stated outcome that stands beside a trace: name.want.json
+// ReadWant reads the expected outcome that is stored beside a trace: name.want.json
 // beside name.jsonl.
 func ReadWant[W any](traceFile string) (W, error) {
 	var want W
@@ -37,7 +37,7 @@
 	return want, errors.Annotate(json.Unmarshal(b, &want), traceFile)
 }
 
-// Read returns the header and the lines of a trace. Errors name the line.
+// Read returns the header and the lines of a trace. Errors give the line number.
 func Read[H, L any](r io.Reader) (H, []L, error) {
 	var head H
 	var lines []L
