--- a/node/store.go
+++ b/node/store.go
@@ -31,7 +31,7 @@
 
 // Workers sends orders to workers.
 type Workers interface {
-	Hold(ctx context.Context, h dispatch.PollRequest) (dispatch.PollReply, dispatch.Outcome)
+	Poll(ctx context.Context, h dispatch.PollRequest) (dispatch.PollReply, dispatch.Outcome)
 	Send(ctx context.Context, o dispatch.Order) dispatch.Answer
 	// Abort breaks off the calls under way.
 	Abort()
@@ -44,7 +44,7 @@
 
 // VMs gives orders for VMs to the platform.
 type VMs interface {
-	BeginUpkeep(ctx context.Context, o dispatch.MaintenanceOrder) dispatch.MaintenanceOutcome
+	StartMaintenance(ctx context.Context, o dispatch.MaintenanceOrder) dispatch.MaintenanceOutcome
 }
 
 // Ports are what a node needs of the platform.
