--- a/clock/clock.go
+++ b/clock/clock.go
@@ -12,13 +12,13 @@
 const (
 	// suspensionCheckInterval is how often the clock that counts suspensions is read. Each
 	// check is a system call, while the monotonic clock and the time of day need none.
-	lookEvery = 100 * time.Millisecond
+	suspensionCheckInterval = 100 * time.Millisecond
 	// wallJumpThreshold is the difference between the time of day and the monotonic clock
 	// that causes an immediate check: a suspension shows there too.
-	wallJump = 20 * time.Millisecond
+	wallJumpThreshold = 20 * time.Millisecond
 	// minSuspension is the shortest suspension that is counted: the clocks are read one
 	// after the other and differ by the time between the reads.
-	leastAsleep = 5 * time.Millisecond
+	minSuspension = 5 * time.Millisecond
 )
 
 // Sources are the clocks that a Clock reads.
@@ -38,26 +38,26 @@
 	mu sync.Mutex
 	// bootOffset is the first reading of Boot minus that of Monotonic; hasBoot is set if
 	// the system has the clock Boot.
-	boot  time.Duration
-	known bool
+	bootOffset time.Duration
+	hasBoot    bool
 	// suspended is for how long the VM has been suspended in total.
-	asleep time.Duration
+	suspended time.Duration
 	// checkedAt is the reading of the monotonic clock at the newest check, wallOffset the
 	// difference of the time of day to it.
-	lookedAt, offset time.Duration
+	checkedAt, wallOffset time.Duration
 }
 
 // New returns the clock of this process, which starts at 0.
-func New() *Clock { return NewOf(systemSources()) }
+func New() *Clock { return NewWithSources(systemSources()) }
 
 // NewWithSources returns a clock that reads these sources.
-func NewOf(sources Sources) *Clock {
+func NewWithSources(sources Sources) *Clock {
 	c := &Clock{sources: sources}
 	mono := sources.Monotonic()
 	if boot, ok := sources.Boot(); ok {
-		c.boot, c.known = boot-mono, true
+		c.bootOffset, c.hasBoot = boot-mono, true
 	}
-	c.lookedAt, c.offset = mono, sources.Wall()-mono
+	c.checkedAt, c.wallOffset = mono, sources.Wall()-mono
 	return c
 }
 
@@ -66,29 +66,29 @@
 	mono, wall := c.sources.Monotonic(), c.sources.Wall()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if jumped := (wall - mono - c.offset).Abs() > wallJump; jumped || mono-c.lookedAt >= lookEvery {
-		c.look()
-		mono = max(mono, c.lookedAt)
+	if jumped := (wall - mono - c.wallOffset).Abs() > wallJumpThreshold; jumped || mono-c.checkedAt >= suspensionCheckInterval {
+		c.checkSuspension()
+		mono = max(mono, c.checkedAt)
 	}
-	return mono + c.asleep
+	return mono + c.suspended
 }
 
 // checkSuspension reads whether the VM was suspended. The monotonic clock is read after Boot:
 // a pause between the two makes a suspension look shorter, until the next check.
-func (c *Clock) look() {
-	if c.known {
+func (c *Clock) checkSuspension() {
+	if c.hasBoot {
 		boot, _ := c.sources.Boot()
-		if suspended := boot - c.boot - c.sources.Monotonic(); suspended > c.asleep+leastAsleep {
-			c.asleep = suspended
+		if suspended := boot - c.bootOffset - c.sources.Monotonic(); suspended > c.suspended+minSuspension {
+			c.suspended = suspended
 		}
 	}
-	c.lookedAt = c.sources.Monotonic()
-	c.offset = c.sources.Wall() - c.lookedAt
+	c.checkedAt = c.sources.Monotonic()
+	c.wallOffset = c.sources.Wall() - c.checkedAt
 }
 
 // Suspended returns for how long the VM has been suspended since the clock started.
-func (c *Clock) Asleep() time.Duration {
+func (c *Clock) Suspended() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.asleep
+	return c.suspended
 }
--- a/config/declarations.go
+++ b/config/declarations.go
@@ -82,7 +82,7 @@
 // errors and warnings; the declarations are valid only without errors.
 func ParseDeclarations(files []File, vms []fleet.VM) (*Declarations, Problems) {
 	all := &Declarations{}
-	c := &checker{all: all, vms: vms, at: map[string]place{}}
+	c := &checker{all: all, vms: vms, locations: map[string]location{}}
 	var problems Problems
 	for _, f := range files {
 		part := &Declarations{}
@@ -98,32 +98,32 @@
 }
 
 // location is where a name is declared.
-type place struct {
+type location struct {
 	doc     *document
 	pointer string
 }
 
 // checker checks the declarations of all files against each other.
 type checker struct {
-	all  *Declarations
-	vms  []fleet.VM
-	docs []*document
-	at   map[string]place // where "groups/name" and so on are declared
+	all       *Declarations
+	vms       []fleet.VM
+	docs      []*document
+	locations map[string]location // where "groups/name" and so on are declared
 }
 
 // merge adds the declarations of one document and reports names that are declared twice.
 func (c *checker) merge(d *document, part *Declarations) {
 	for i, g := range part.Groups {
-		c.named(d, "groups", i, g.Name)
+		c.declare(d, "groups", i, g.Name)
 	}
 	for i, s := range part.Services {
-		c.named(d, "services", i, s.Name)
+		c.declare(d, "services", i, s.Name)
 	}
 	for i, s := range part.Selectors {
-		c.named(d, "selectors", i, s.Name)
+		c.declare(d, "selectors", i, s.Name)
 	}
 	for i, s := range part.Cells {
-		c.named(d, "cells", i, s.Name)
+		c.declare(d, "cells", i, s.Name)
 	}
 	c.all.Groups = append(c.all.Groups, part.Groups...)
 	c.all.Services = append(c.all.Services, part.Services...)
@@ -132,23 +132,23 @@
 }
 
 // declare records where a name is declared, and reports a name that is declared already.
-func (c *checker) named(d *document, section string, i int, name string) {
+func (c *checker) declare(d *document, section string, i int, name string) {
 	pointer := fmt.Sprintf("/%s/%d", section, i)
 	key := section + "/" + name
-	if other, ok := c.at[key]; ok {
+	if other, ok := c.locations[key]; ok {
 		d.add(pointer+"/name", "%q is declared already in %s at %s", name, other.doc.file.Name, other.pointer)
 		return
 	}
-	c.at[key] = place{d, pointer}
+	c.locations[key] = location{d, pointer}
 }
 
 func (c *checker) add(key, field, format string, args ...any) {
-	p := c.at[key]
+	p := c.locations[key]
 	p.doc.add(p.pointer+field, format, args...)
 }
 
 func (c *checker) warn(key, field, format string, args ...any) {
-	p := c.at[key]
+	p := c.locations[key]
 	p.doc.warn(p.pointer+field, format, args...)
 }
 
@@ -165,7 +165,7 @@
 		if g.Parent == "" {
 			continue
 		}
-		if !c.known("groups", g.Parent) {
+		if !c.declared("groups", g.Parent) {
 			c.add(key, "/parent", "group %q is not declared", g.Parent)
 		} else if c.cyclic(g) {
 			c.add(key, "/parent", "group %q is its own ancestor", g.Name)
@@ -173,8 +173,8 @@
 	}
 }
 
-func (c *checker) known(section, name string) bool {
-	_, ok := c.at[section+"/"+name]
+func (c *checker) declared(section, name string) bool {
+	_, ok := c.locations[section+"/"+name]
 	return ok
 }
 
@@ -197,13 +197,13 @@
 func (c *checker) checkServices() {
 	for _, s := range c.all.Services {
 		key := "services/" + s.Name
-		if s.Group != "" && !c.known("groups", s.Group) {
+		if s.Group != "" && !c.declared("groups", s.Group) {
 			c.add(key, "/group", "group %q is not declared", s.Group)
 		}
 		if s.Connections < s.Slots {
 			c.add(key, "/connections", "must be at least slots (%d)", s.Slots)
 		}
-		c.selector(key, "/vms", s.VMs, true)
+		c.parseSelector(key, "/vms", s.VMs, true)
 	}
 }
 
@@ -211,11 +211,11 @@
 	parsed := make([]labels.Selector, len(c.all.Selectors))
 	for i, s := range c.all.Selectors {
 		key := "selectors/" + s.Name
-		if !c.known("groups", s.Group) {
+		if !c.declared("groups", s.Group) {
 			c.add(key, "/group", "group %q is not declared", s.Group)
 		}
-		parsed[i] = c.selector(key, "/match", s.Match, false)
-		c.selector(key, "/vms", s.VMs, true)
+		parsed[i] = c.parseSelector(key, "/match", s.Match, false)
+		c.parseSelector(key, "/vms", s.VMs, true)
 	}
 	for i, a := range c.all.Selectors {
 		for j, b := range c.all.Selectors[:i] {
@@ -233,7 +233,7 @@
 	claimed := map[string]string{}
 	for _, cell := range c.all.Cells {
 		key := "cells/" + cell.Name
-		sel := c.selector(key, "/vms", cell.VMs, true)
+		sel := c.parseSelector(key, "/vms", cell.VMs, true)
 		if sel == nil {
 			continue
 		}
@@ -251,7 +251,7 @@
 }
 
 // parseSelector parses a label selector and reports its mistakes; it returns nil for a bad one.
-func (c *checker) selector(key, field, text string, ofVMs bool) labels.Selector {
+func (c *checker) parseSelector(key, field, text string, ofVMs bool) labels.Selector {
 	sel, err := labels.Parse(text)
 	if err != nil {
 		c.add(key, field, "%v", err)
@@ -298,14 +298,14 @@
 
 // excludes reports whether no label value meets both requirements, which have the same key.
 func excludes(x, y labels.Requirement) bool {
-	if positive(x) && positive(y) {
+	if requiresListedValue(x) && requiresListedValue(y) {
 		return x.Values().Intersection(y.Values()).Len() == 0
 	}
 	return oneExcludes(x, y) || oneExcludes(y, x)
 }
 
 // requiresListedValue reports whether a requirement demands one of its listed values.
-func positive(r labels.Requirement) bool {
+func requiresListedValue(r labels.Requirement) bool {
 	switch r.Operator() {
 	case selection.In, selection.Equals, selection.DoubleEquals:
 		return true
@@ -318,9 +318,9 @@
 func oneExcludes(x, y labels.Requirement) bool {
 	switch y.Operator() {
 	case selection.DoesNotExist:
-		return positive(x) || x.Operator() == selection.Exists
+		return requiresListedValue(x) || x.Operator() == selection.Exists
 	case selection.NotIn, selection.NotEquals:
-		return positive(x) && y.Values().IsSuperset(x.Values())
+		return requiresListedValue(x) && y.Values().IsSuperset(x.Values())
 	default:
 		return false
 	}
--- a/config/document.go
+++ b/config/document.go
@@ -208,7 +208,7 @@
 	}
 	var ve *jsonschema.ValidationError
 	if err := compiled.Validate(instance); errors.As(err, &ve) {
-		d.collect(ve)
+		d.collectViolations(ve)
 	}
 	sort.SliceStable(d.problems, func(i, j int) bool {
 		a, b := d.problems[i], d.problems[j]
@@ -232,10 +232,10 @@
 var printer = message.NewPrinter(language.English)
 
 // collectViolations adds a problem for each leaf of a schema validation error.
-func (d *document) collect(ve *jsonschema.ValidationError) {
+func (d *document) collectViolations(ve *jsonschema.ValidationError) {
 	if len(ve.Causes) > 0 {
 		for _, c := range ve.Causes {
-			d.collect(c)
+			d.collectViolations(c)
 		}
 		return
 	}
--- a/config/settings.go
+++ b/config/settings.go
@@ -96,14 +96,14 @@
 // checkSettings reports mistakes that the schema can't express.
 func (d *document) checkSettings(s *Settings) {
 	used := map[string]string{}
-	d.address("/listen/callers", s.Listen.Callers, used)
-	d.address("/listen/peers", s.Listen.Peers, used)
-	d.address("/platform/vm_list", s.Platform.VMList, used)
+	d.checkAddress("/listen/callers", s.Listen.Callers, used)
+	d.checkAddress("/listen/peers", s.Listen.Peers, used)
+	d.checkAddress("/platform/vm_list", s.Platform.VMList, used)
 	for i, a := range s.Store.Addresses {
-		d.address(fmt.Sprintf("/store/addresses/%d", i), a, used)
+		d.checkAddress(fmt.Sprintf("/store/addresses/%d", i), a, used)
 	}
 	for i, a := range s.Peers {
-		d.address(fmt.Sprintf("/peers/%d", i), a, used)
+		d.checkAddress(fmt.Sprintf("/peers/%d", i), a, used)
 	}
 	if s.Store.LeaseMS < 3*s.Store.TimeoutMS/2 {
 		d.add("/store", "lease_ms (%d) must be at least 1.5 times timeout_ms (%d), or a slow answer costs the lease", s.Store.LeaseMS, s.Store.TimeoutMS)
@@ -114,7 +114,7 @@
 }
 
 // checkAddress reports an address that is malformed or used twice.
-func (d *document) address(pointer, addr string, used map[string]string) {
+func (d *document) checkAddress(pointer, addr string, used map[string]string) {
 	ap, err := netip.ParseAddrPort(addr)
 	if err != nil || ap.Port() == 0 {
 		d.add(pointer, "%q is no IP number with a port from 1 to 65535", addr)
--- a/dial/client.go
+++ b/dial/client.go
@@ -20,21 +20,21 @@
 	// finalReadGrace is how long a read continues after its deadline. Bytes that have
 	// arrived by then are read at once; a round trip takes 1 to 16 ms. Without it, a
 	// process that is itself late would take its own lateness for the peer's silence.
-	lastLook = 25 * time.Millisecond
+	finalReadGrace = 25 * time.Millisecond
 	// maxCallAttempts bounds the attempts of a call whose connection turns out to
 	// have been closed while it was idle: the other idle connections to the host are
 	// closed before the second attempt, which opens a new one.
-	callAttempts = 2
+	maxCallAttempts = 2
 	// headerBufferBytes is for the headers of an answer, which must fit;
 	// requestBufferBytes is for a request, which is written in one piece if it fits.
 	// Each call in progress uses one buffer of both kinds.
-	headerBuffer  = 2048
-	requestBuffer = 4608
+	headerBufferBytes  = 2048
+	requestBufferBytes = 4608
 	// minPerHost connections may be open to a host however many hosts there are:
 	// one that waits for an answer, and one for other calls.
-	leastPerHost = 2
+	minPerHost = 2
 	// hostUnusedTimeout is the time after which an unused host no longer counts.
-	hostForgotten = 2 * time.Minute
+	hostUnusedTimeout = 2 * time.Minute
 )
 
 // Client makes short calls to many hosts, on connections that detect
@@ -45,9 +45,9 @@
 // affects all of them, and each would cost another timeout. A call has timed out
 // only if nothing has arrived by the time the process reads; see finalReadGrace.
 type Client struct {
-	http     fasthttp.Client
-	perHost  int
-	mostOpen int
+	http    fasthttp.Client
+	perHost int
+	maxOpen int
 
 	mu    sync.Mutex // guards what follows
 	conns map[*clientConn]struct{}
@@ -60,12 +60,12 @@
 // calledHost is a host that was called, with the time of its first call.
 type calledHost struct {
 	*fasthttp.HostClient
-	since time.Time
+	firstCall time.Time
 }
 
 // unused reports whether the host has had no connection and no call for hostUnusedTimeout.
 func (h calledHost) unused(now time.Time) bool {
-	return h.ConnsCount() == 0 && now.Sub(h.since) > hostForgotten && now.Sub(h.LastUseTime()) > hostForgotten
+	return h.ConnsCount() == 0 && now.Sub(h.firstCall) > hostUnusedTimeout && now.Sub(h.LastUseTime()) > hostUnusedTimeout
 }
 
 // Call is a POST of a JSON body.
@@ -94,7 +94,7 @@
 
 // NewClient returns a client. An idle connection is kept for idleTimeout.
 func NewClient(limits Limits, dialTimeout, idleTimeout time.Duration) *Client {
-	c := &Client{perHost: limits.PerHost, mostOpen: limits.MostOpen, conns: map[*clientConn]struct{}{}}
+	c := &Client{perHost: limits.PerHost, maxOpen: limits.MostOpen, conns: map[*clientConn]struct{}{}}
 	c.dialling, c.stopDialling = context.WithCancel(context.Background())
 	dialer := Dialer(dialTimeout)
 	c.http = fasthttp.Client{
@@ -103,8 +103,8 @@
 		MaxConnWaitTimeout:        idleTimeout, // the call's own timeout is shorter
 		MaxIdleConnDuration:       idleTimeout,
 		MaxResponseBodySize:       limits.MaxAnswer,
-		ReadBufferSize:            headerBuffer,
-		WriteBufferSize:           requestBuffer,
+		ReadBufferSize:            headerBufferBytes,
+		WriteBufferSize:           requestBufferBytes,
 		MaxIdemponentCallAttempts: 1, // Post retries itself, and reports how often it sent the call
 		DialTimeout:               func(address string, _ time.Duration) (net.Conn, error) { return c.open(dialer, address) },
 		ConfigureClient: func(host *fasthttp.HostClient) error {
@@ -123,7 +123,7 @@
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
-	call.fill(req)
+	call.buildRequest(req)
 	sent, err = c.send(req, resp, call.attempts(), time.Now().Add(call.Timeout))
 	if err != nil {
 		return sent, err
@@ -137,11 +137,11 @@
 	if call.Once {
 		return 1
 	}
-	return callAttempts
+	return maxCallAttempts
 }
 
 // buildRequest writes the call into a request.
-func (call *Call) fill(req *fasthttp.Request) {
+func (call *Call) buildRequest(req *fasthttp.Request) {
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.Header.SetContentType("application/json")
 	req.Header.Set(call.Header, call.Value)
@@ -154,7 +154,7 @@
 // send sends a request, and sends it again if its connection turns out to be closed. An
 // attempt whose connection was found closed before it was used does not count as sent.
 func (c *Client) send(req *fasthttp.Request, resp *fasthttp.Response, attempts int, deadline time.Time) (sent int, err error) {
-	for unsent := 0; sent < attempts && unsent < callAttempts; {
+	for unsent := 0; sent < attempts && unsent < maxCallAttempts; {
 		left := time.Until(deadline)
 		if left <= 0 {
 			return sent, fasthttp.ErrTimeout
@@ -182,10 +182,10 @@
 	now := time.Now()
 	c.hosts = slices.DeleteFunc(c.hosts, func(h calledHost) bool { return h.unused(now) })
 	c.hosts = append(c.hosts, calledHost{host, now})
-	if c.mostOpen <= 0 || len(c.hosts)*c.perHost <= c.mostOpen {
+	if c.maxOpen <= 0 || len(c.hosts)*c.perHost <= c.maxOpen {
 		return
 	}
-	most := max(c.mostOpen/len(c.hosts), leastPerHost)
+	most := max(c.maxOpen/len(c.hosts), minPerHost)
 	for _, h := range c.hosts {
 		h.SetMaxConns(most)
 	}
@@ -277,7 +277,7 @@
 	if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
 		return n, err
 	}
-	if err := c.Conn.SetReadDeadline(time.Now().Add(lastLook)); err != nil {
+	if err := c.Conn.SetReadDeadline(time.Now().Add(finalReadGrace)); err != nil {
 		return 0, err
 	}
 	n, err = c.Conn.Read(b)
--- a/dial/client_test.go
+++ b/dial/client_test.go
@@ -20,10 +20,10 @@
 
 func testClient(t *testing.T, perHost int) *Client {
 	t.Helper()
-	return testClientOf(t, Limits{PerHost: perHost, MaxAnswer: 1 << 20})
+	return testClientWithLimits(t, Limits{PerHost: perHost, MaxAnswer: 1 << 20})
 }
 
-func testClientOf(t *testing.T, limits Limits) *Client {
+func testClientWithLimits(t *testing.T, limits Limits) *Client {
 	t.Helper()
 	c := NewClient(limits, time.Second, time.Minute)
 	t.Cleanup(c.Abort)
@@ -41,7 +41,7 @@
 // TestOneTimeoutForAllSilentConnections checks for Transport.
 func TestClientOneTimeoutForAllSilentConnections(t *testing.T) {
 	const connections = 5
-	s := newSilencer(t)
+	s := newSilentServer(t)
 	c := testClient(t, connections)
 	for s.accepted.Load() < connections { // open several at once
 		var calls sync.WaitGroup
@@ -65,7 +65,7 @@
 
 // TestFinalReadAfterDeadline: bytes that have arrived are read even if the process reads
 // only after the deadline. Otherwise a late process drops working connections.
-func TestLastLook(t *testing.T) {
+func TestFinalReadAfterDeadline(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -132,7 +132,7 @@
 
 // TestAbort: Abort ends a call that waits for its answer.
 func TestAbort(t *testing.T) {
-	arrived, gone := make(chan struct{}, callAttempts), make(chan struct{})
+	arrived, gone := make(chan struct{}, maxCallAttempts), make(chan struct{})
 	srv := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		arrived <- struct{}{}
 		<-gone
@@ -237,7 +237,7 @@
 // TestClientBoundsConnections: calls beyond the bound wait for a connection.
 func TestClientBoundsConnections(t *testing.T) {
 	const perHost, calls = 2, 8
-	s := newSilencer(t)
+	s := newSilentServer(t)
 	c := testClient(t, perHost)
 	var running sync.WaitGroup
 	for range calls {
@@ -255,11 +255,11 @@
 
 // TestManyHostsShareDescriptors: with many hosts each gets fewer connections,
 // but at least two.
-func TestManyHostsShareTheDescriptors(t *testing.T) {
+func TestManyHostsShareDescriptors(t *testing.T) {
 	for _, x := range []struct{ hosts, perHost, mostOpen, want int }{
 		{2, 6, 20, 6}, {4, 6, 20, 5}, {8, 6, 20, 2}, {30, 6, 20, 2}, {30, 6, 0, 6},
 	} {
-		c := testClientOf(t, Limits{PerHost: x.perHost, MostOpen: x.mostOpen, MaxAnswer: 1 << 20})
+		c := testClientWithLimits(t, Limits{PerHost: x.perHost, MostOpen: x.mostOpen, MaxAnswer: 1 << 20})
 		var hosts []*fasthttp.HostClient
 		for range x.hosts {
 			h := &fasthttp.HostClient{MaxConns: x.perHost}
@@ -276,7 +276,7 @@
 
 // TestOnceCallIsSentOnce: a call that must not be repeated reaches the peer once,
 // also if its connection ends without an answer.
-func TestCallOnceIsSentOnce(t *testing.T) {
+func TestOnceCallIsSentOnce(t *testing.T) {
 	for _, once := range []bool{true, false} {
 		var arrived atomic.Int32
 		srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
@@ -286,7 +286,7 @@
 		srv.Config.ErrorLog = log.New(io.Discard, "", 0)
 		c := testClient(t, 1)
 		sent, err := c.Post(Call{Address: srv.Listener.Addr().String(), Path: "/x", Header: "X-Life", Value: "a", Timeout: time.Minute, Once: once}, func(int, []byte) {})
-		want := callAttempts
+		want := maxCallAttempts
 		if once {
 			want = 1
 		}
@@ -301,7 +301,7 @@
 // closed or reset all idle connections, because nothing was sent on them. Otherwise, after
 // a network failure, starts at each worker get no answer, and the runs that they order wait
 // until the worker's list shows whether they run.
-func TestCallOnceIsSentOnAConnectionThatIsOpen(t *testing.T) {
+func TestOnceCallUsesOpenConnection(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		var arrived atomic.Int32
 		var mu sync.Mutex
--- a/dial/dial_test.go
+++ b/dial/dial_test.go
@@ -15,7 +15,7 @@
 )
 
 // TestConnectionsDetectSilence reads back the socket options from the kernel.
-func TestConnectionsNoticeSilence(t *testing.T) {
+func TestConnectionsDetectSilence(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -50,26 +50,26 @@
 
 // silentServer answers requests until its open connections are silenced; connections that
 // are opened later are answered again.
-type silencer struct {
+type silentServer struct {
 	net.Listener
 	generation atomic.Int64
 	accepted   atomic.Int64
 }
 
 // newSilentServer serves on a loopback port until the test ends.
-func newSilencer(t *testing.T) *silencer {
+func newSilentServer(t *testing.T) *silentServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &silencer{Listener: l}
+	s := &silentServer{Listener: l}
 	t.Cleanup(func() { _ = s.Close() })
 	go s.serve()
 	return s
 }
 
-func (s *silencer) serve() {
+func (s *silentServer) serve() {
 	for {
 		conn, err := s.Accept()
 		if err != nil {
@@ -80,7 +80,7 @@
 	}
 }
 
-func (s *silencer) answer(conn net.Conn, born int64) {
+func (s *silentServer) answer(conn net.Conn, born int64) {
 	defer conn.Close()
 	in := bufio.NewReader(conn)
 	for {
@@ -102,7 +102,7 @@
 // host are closed. With a shared http.Transport each of them costs a timeout of its own.
 func TestOneTimeoutForAllSilentConnections(t *testing.T) {
 	const connections = 5
-	s := newSilencer(t)
+	s := newSilentServer(t)
 	transport := NewTransport(connections, time.Second, time.Minute)
 	defer transport.CloseIdleConnections()
 	client := &http.Client{Transport: transport}
@@ -139,10 +139,10 @@
 	}
 }
 
-func TestUnusedHostsAreForgotten(t *testing.T) {
+func TestUnusedHostsAreRemoved(t *testing.T) {
 	transport := NewTransport(1, time.Second, time.Minute)
 	transport.pool("127.0.0.1:1")
-	transport.hosts["127.0.0.1:1"].used = time.Now().Add(-3 * time.Minute)
+	transport.hosts["127.0.0.1:1"].lastUsed = time.Now().Add(-3 * time.Minute)
 	transport.pool("127.0.0.1:2")
 	if len(transport.hosts) != 1 || transport.hosts["127.0.0.1:2"] == nil {
 		t.Fatalf("%d pools are kept", len(transport.hosts))
--- a/dial/idle.go
+++ b/dial/idle.go
@@ -12,7 +12,7 @@
 // idleCheck detects whether the peer has closed a connection that nobody reads.
 type idleCheck struct {
 	raw  syscall.RawConn
-	look func(fd uintptr)
+	peek func(fd uintptr)
 	byte [1]byte
 	n    int
 	err  error
@@ -24,7 +24,7 @@
 	if s, ok := conn.(syscall.Conn); ok {
 		c.raw, _ = s.SyscallConn()
 	}
-	c.look = func(fd uintptr) {
+	c.peek = func(fd uintptr) {
 		c.n, _, c.err = syscall.Recvfrom(int(fd), c.byte[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	}
 	return c
@@ -33,7 +33,7 @@
 // closed reports whether the peer has closed or reset the connection. It consumes no
 // bytes and does not wait.
 func (c *idleCheck) closed() bool {
-	if c.raw == nil || c.raw.Control(c.look) != nil {
+	if c.raw == nil || c.raw.Control(c.peek) != nil {
 		return false // the next use returns the error
 	}
 	if c.err != nil {
--- a/dial/transport.go
+++ b/dial/transport.go
@@ -27,8 +27,8 @@
 
 // host is the connection pool of one address, with the time of its last use.
 type host struct {
-	pool *http.Transport
-	used time.Time
+	pool     *http.Transport
+	lastUsed time.Time
 }
 
 // NewTransport returns a Transport. perHost is the maximum number of idle connections
@@ -65,7 +65,7 @@
 	defer t.mu.Unlock()
 	h := t.hosts[address]
 	if h == nil {
-		t.forgetUnused(now)
+		t.removeUnused(now)
 		h = &host{pool: &http.Transport{
 			DialContext:         t.dialer.DialContext,
 			MaxIdleConnsPerHost: t.perHost,
@@ -74,15 +74,15 @@
 		}}
 		t.hosts[address] = h
 	}
-	h.used = now
+	h.lastUsed = now
 	return h.pool
 }
 
 // removeUnused removes the pools of addresses that were not called for so long
 // that none of their connections can be open.
-func (t *Transport) forgetUnused(now time.Time) {
+func (t *Transport) removeUnused(now time.Time) {
 	for address, h := range t.hosts {
-		if now.Sub(h.used) > 2*t.idleTimeout {
+		if now.Sub(h.lastUsed) > 2*t.idleTimeout {
 			h.pool.CloseIdleConnections()
 			delete(t.hosts, address)
 		}
--- a/fleet/client.go
+++ b/fleet/client.go
@@ -21,7 +21,7 @@
 )
 
 // maxReplyBytes bounds an answer.
-const maxReply = 16 << 20
+const maxReplyBytes = 16 << 20
 
 // Client calls workers and the VM list over HTTP with JSON.
 type Client struct {
@@ -123,7 +123,7 @@
 		return nil, errors.Trace(err)
 	}
 	defer resp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxReply))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
 	switch {
 	case err != nil:
 		return nil, errors.Annotate(err, req.URL.Path)
--- a/job/config.go
+++ b/job/config.go
@@ -22,7 +22,7 @@
 	TargetLatency time.Duration
 	// CapacityUnchecked is set if the service's workers don't check their capacity
 	// themselves: they start every run that is ordered, also beyond their capacity.
-	RoomUnguarded bool
+	CapacityUnchecked bool
 	// Advice is set if the service's placement policy must be consulted.
 	Advice *AdviceTerms
 }
--- a/job/job_test.go
+++ b/job/job_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestProgressNotesEachTaskAndFailureOnce(t *testing.T) {
+func TestProgressRecordsEachTaskAndFailureOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var p Progress
 		const count = 19
@@ -41,7 +41,7 @@
 			}
 			run := rapid.Uint64Range(1, 5).Draw(t, "run")
 			id.Index = 0
-			if p.CountFailure(id, run) == failed[run] {
+			if p.RecordFailure(id, run) == failed[run] {
 				t.Fatal("a failure is not recorded exactly once")
 			}
 			failed[run] = true
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestQueueForTakesTheLongestPrefix(t *testing.T) {
+func TestQueueForChoosesLongestPrefix(t *testing.T) {
 	c := &Config{Queues: []Queue{{Name: "short", Host: "h", PathPrefix: "/a/"}, {Name: "long", Host: "h", PathPrefix: "/a/b/"}, {Name: "other", Host: "g", PathPrefix: "/"}}}
 	for path, want := range map[string]string{"/a/x": "short", "/a/b/x": "long"} {
 		if q := c.QueueFor("h", path); q == nil || q.Name != want {
--- a/job/progress.go
+++ b/job/progress.go
@@ -64,18 +64,18 @@
 type Crash struct {
 	Run uint64 `json:"run"`
 	// Isolated is set if no other worker crashed around the same time.
-	Alone bool `json:"alone,omitempty"`
+	Isolated bool `json:"alone,omitempty"`
 	// Inconclusive is set if another run more likely crashed the worker. It is also
 	// set for a start that may have been ordered when its owner and a worker were
 	// lost: then Run is a number that no start has.
-	Unsure bool `json:"unsure,omitempty"`
+	Inconclusive bool `json:"unsure,omitempty"`
 }
 
 // StepKey is the key of a step in Progress.Done.
 func StepKey(occurrence, step int) string { return fmt.Sprintf("%d.%d", occurrence, step) }
 
 // ProgressKey is the key of a task in Progress.Failures, Crashes and Starts.
-func (t TaskID) FailureKey() string { return fmt.Sprintf("%d.%d.%d", t.Occurrence, t.Step, t.Index) }
+func (t TaskID) ProgressKey() string { return fmt.Sprintf("%d.%d.%d", t.Occurrence, t.Step, t.Index) }
 
 // MarkDone sets the bit of a finished task and reports whether it was clear before.
 func (p *Progress) MarkDone(t TaskID, count int) bool {
@@ -103,11 +103,11 @@
 }
 
 // RecordFailure records a failed run once and reports whether it was new.
-func (p *Progress) CountFailure(t TaskID, run uint64) bool {
+func (p *Progress) RecordFailure(t TaskID, run uint64) bool {
 	if p.Failures == nil {
 		p.Failures = map[string][]uint64{}
 	}
-	key := t.FailureKey()
+	key := t.ProgressKey()
 	if slices.Contains(p.Failures[key], run) {
 		return false
 	}
@@ -116,15 +116,15 @@
 }
 
 // FailureCount returns how many runs of a task have failed.
-func (p *Progress) FailureCount(t TaskID) int { return len(p.Failures[t.FailureKey()]) }
+func (p *Progress) FailureCount(t TaskID) int { return len(p.Failures[t.ProgressKey()]) }
 
 // RecordCrash records once that a worker crashed at the start of a run, and reports
 // whether the record is new.
-func (p *Progress) CountCrash(t TaskID, crash Crash) bool {
+func (p *Progress) RecordCrash(t TaskID, crash Crash) bool {
 	if p.Crashes == nil {
 		p.Crashes = map[string][]Crash{}
 	}
-	key := t.FailureKey()
+	key := t.ProgressKey()
 	if slices.ContainsFunc(p.Crashes[key], func(c Crash) bool { return c.Run == crash.Run }) {
 		return false
 	}
@@ -134,31 +134,31 @@
 
 // MarkCrashIsolated records that no other worker crashed around the time of a run's crash,
 // and reports whether the crash is still counted.
-func (p *Progress) CrashAlone(t TaskID, run uint64) bool {
-	list := p.Crashes[t.FailureKey()]
+func (p *Progress) MarkCrashIsolated(t TaskID, run uint64) bool {
+	list := p.Crashes[t.ProgressKey()]
 	i := slices.IndexFunc(list, func(c Crash) bool { return c.Run == run })
 	if i >= 0 {
-		list[i].Alone = true
+		list[i].Isolated = true
 	}
 	return i >= 0
 }
 
 // maxStarts bounds the starts that are kept of a task; a gang has one for each member.
-const mostStarts = 64
+const maxStarts = 64
 
 // AddStart records a start.
 func (p *Progress) AddStart(t TaskID, start Start) {
 	if p.Starts == nil {
 		p.Starts = map[string][]Start{}
 	}
-	key := t.FailureKey()
+	key := t.ProgressKey()
 	list := append(p.Starts[key], start)
-	p.Starts[key] = list[max(0, len(list)-mostStarts):]
+	p.Starts[key] = list[max(0, len(list)-maxStarts):]
 }
 
 // DropStarts removes the starts of a task up to a run, and reports whether there were any.
 func (p *Progress) DropStarts(t TaskID, run uint64) bool {
-	key := t.FailureKey()
+	key := t.ProgressKey()
 	list := p.Starts[key]
 	rest := slices.DeleteFunc(slices.Clone(list), func(s Start) bool { return s.Run <= run })
 	switch {
@@ -175,19 +175,19 @@
 // CrashCount counts the consecutive starts of a task at which its worker crashed.
 type CrashCount struct {
 	// All counts the inconclusive crashes too.
-	All, Sure, Alone int
+	All, Conclusive, Isolated int
 }
 
 // CrashCount returns how often in a row the worker of a task crashed at its start.
 func (p *Progress) CrashCount(t TaskID) CrashCount {
-	list := p.Crashes[t.FailureKey()]
+	list := p.Crashes[t.ProgressKey()]
 	n := CrashCount{All: len(list)}
 	for _, c := range list {
-		if !c.Unsure {
-			n.Sure++
+		if !c.Inconclusive {
+			n.Conclusive++
 		}
-		if c.Alone {
-			n.Alone++
+		if c.Isolated {
+			n.Isolated++
 		}
 	}
 	return n
@@ -196,14 +196,14 @@
 // NewestCrash returns the highest run number among the task's crashes, 0 without any.
 func (p *Progress) NewestCrash(t TaskID) uint64 {
 	newest := uint64(0)
-	for _, c := range p.Crashes[t.FailureKey()] {
+	for _, c := range p.Crashes[t.ProgressKey()] {
 		newest = max(newest, c.Run)
 	}
 	return newest
 }
 
 // ClearCrashes removes the crashes of a task.
-func (p *Progress) ClearCrashes(t TaskID) { delete(p.Crashes, t.FailureKey()) }
+func (p *Progress) ClearCrashes(t TaskID) { delete(p.Crashes, t.ProgressKey()) }
 
 // Check reports whether the progress can be that of a job: each bitmap belongs to one
 // of its steps and has that step's length, and each failure, start and crash belongs to
@@ -220,28 +220,28 @@
 		if err != nil {
 			return err
 		}
-		count, ok := spec.tasksOf(at[0], at[1])
+		count, ok := spec.taskCount(at[0], at[1])
 		if !ok || len(bits) != (count+7)/8 {
 			return errors.Errorf("bitmap %s of %d bytes", key, len(bits))
 		}
 	}
-	if err := checkTasks(p.Failures, spec); err != nil {
+	if err := checkTaskKeys(p.Failures, spec); err != nil {
 		return errors.Annotate(err, "failures")
 	}
-	if err := checkTasks(p.Starts, spec); err != nil {
+	if err := checkTaskKeys(p.Starts, spec); err != nil {
 		return errors.Annotate(err, "starts")
 	}
-	return errors.Annotate(checkTasks(p.Crashes, spec), "crashes")
+	return errors.Annotate(checkTaskKeys(p.Crashes, spec), "crashes")
 }
 
 // checkTaskKeys returns an error unless each key is that of a task of the job.
-func checkTasks[R any](runs map[string][]R, spec *Spec) error {
+func checkTaskKeys[R any](runs map[string][]R, spec *Spec) error {
 	for key := range runs {
 		at, err := parseNumbers(key, 3)
 		if err != nil {
 			return err
 		}
-		if count, ok := spec.tasksOf(at[0], at[1]); !ok || at[2] >= count {
+		if count, ok := spec.taskCount(at[0], at[1]); !ok || at[2] >= count {
 			return errors.Errorf("no task %s", key)
 		}
 	}
@@ -250,8 +250,8 @@
 
 // taskCount returns how many tasks a step of an occurrence has; ok is false if the job
 // has no such step.
-func (s *Spec) tasksOf(occurrence, step int) (count int, ok bool) {
-	if occurrence >= s.Times() || step >= len(s.Steps) {
+func (s *Spec) taskCount(occurrence, step int) (count int, ok bool) {
+	if occurrence >= s.OccurrenceCount() || step >= len(s.Steps) {
 		return 0, false
 	}
 	return s.Steps[step].Count, true
--- a/job/spec.go
+++ b/job/spec.go
@@ -67,7 +67,7 @@
 	// Speculative tasks may run in several copies at once.
 	Speculative bool `json:"speculative,omitempty"`
 	// LongRunning tasks run until the job is cancelled.
-	Lasting bool `json:"lasting,omitempty"`
+	LongRunning bool `json:"lasting,omitempty"`
 	// Image names the program; tasks of one image behave similarly.
 	Image string `json:"image,omitempty"`
 	// TargetMS is the tail latency that a long-running task promises to its
@@ -78,21 +78,21 @@
 	Fills bool `json:"fills,omitempty"`
 	// MaxUnavailable is how many tasks of a long-running step the scheduler may make
 	// unavailable at once; 0 means no bound.
-	MaxAway int `json:"max_away,omitempty"`
+	MaxUnavailable int `json:"max_away,omitempty"`
 }
 
 // IsLongRunning reports whether the step's tasks run until the job is cancelled.
-func (s *Step) LastingStep() bool { return s.Lasting }
+func (s *Step) IsLongRunning() bool { return s.LongRunning }
 
 // IsShort reports whether the step's tasks end by themselves and need capacity of
 // their own.
-func (s *Step) ShortStep() bool { return !s.Lasting && !s.Fills }
+func (s *Step) IsShort() bool { return !s.LongRunning && !s.Fills }
 
 // Estimate returns the submitter's estimate of a task's run time.
 func (s *Step) Estimate() time.Duration { return time.Duration(s.EstimateMS) * time.Millisecond }
 
 // OccurrenceCount returns how many times the steps run.
-func (s *Spec) Times() int { return max(s.Occurrences, 1) }
+func (s *Spec) OccurrenceCount() int { return max(s.Occurrences, 1) }
 
 // DueMS returns when an occurrence is due, milliseconds since 1970, or 0 for a
 // job that is due at once.
@@ -104,9 +104,9 @@
 }
 
 // LongRunning reports whether a step of the job runs until it is cancelled.
-func (s *Spec) Lasting() bool {
+func (s *Spec) LongRunning() bool {
 	for i := range s.Steps {
-		if s.Steps[i].Lasting {
+		if s.Steps[i].LongRunning {
 			return true
 		}
 	}
@@ -147,8 +147,8 @@
 		}
 		tasks += s.Steps[i].Count
 	}
-	if tasks*s.Times() > MaxTasks {
-		return errors.Annotatef(ErrInvalid, "%d tasks, at most %d", tasks*s.Times(), MaxTasks)
+	if tasks*s.OccurrenceCount() > MaxTasks {
+		return errors.Annotatef(ErrInvalid, "%d tasks, at most %d", tasks*s.OccurrenceCount(), MaxTasks)
 	}
 	return nil
 }
@@ -157,7 +157,7 @@
 	if s.Count <= 0 || s.Count > MaxTasks {
 		return errors.Annotatef(ErrInvalid, "step %d has %d tasks", number, s.Count)
 	}
-	if s.CPUMilli < 0 || s.MemoryMiB < 0 || s.Accelerators < 0 || s.EstimateMS < 0 || s.MaxPerWorker < 0 || s.TargetMS < 0 || s.MaxAway < 0 {
+	if s.CPUMilli < 0 || s.MemoryMiB < 0 || s.Accelerators < 0 || s.EstimateMS < 0 || s.MaxPerWorker < 0 || s.TargetMS < 0 || s.MaxUnavailable < 0 {
 		return errors.Annotatef(ErrInvalid, "step %d has a negative size", number)
 	}
 	for _, after := range s.After {
--- a/kv/client.go
+++ b/kv/client.go
@@ -14,18 +14,18 @@
 )
 
 // maxAnswerBytes bounds an answer: the largest holds a cell's whole journal and snapshot.
-const maxAnswer = 64 << 20
+const maxAnswerBytes = 64 << 20
 
 // Client is a Store over the JSON gateway at one of several addresses. After
 // a failure the next call goes to the next address.
 type Client struct {
-	urls    []string
-	timeout time.Duration
-	http    *http.Client
-	next    atomic.Uint32
-	calls   *metrics.Counter
-	fails   *metrics.Counter
-	sent    *metrics.Counter
+	urls     []string
+	timeout  time.Duration
+	http     *http.Client
+	next     atomic.Uint32
+	calls    *metrics.Counter
+	failures *metrics.Counter
+	sent     *metrics.Counter
 }
 
 // NewClient returns a client of the gateway at urls, such as
@@ -33,12 +33,12 @@
 func NewClient(urls []string, timeout time.Duration, set *metrics.Set) *Client {
 	transport := &http.Transport{MaxIdleConnsPerHost: 16, IdleConnTimeout: time.Minute}
 	return &Client{
-		urls:    urls,
-		timeout: timeout,
-		http:    &http.Client{Transport: transport},
-		calls:   set.NewCounter("leverstile_store_calls_total"),
-		fails:   set.NewCounter("leverstile_store_call_failures_total"),
-		sent:    set.NewCounter("leverstile_store_sent_bytes_total"),
+		urls:     urls,
+		timeout:  timeout,
+		http:     &http.Client{Transport: transport},
+		calls:    set.NewCounter("leverstile_store_calls_total"),
+		failures: set.NewCounter("leverstile_store_call_failures_total"),
+		sent:     set.NewCounter("leverstile_store_sent_bytes_total"),
 	}
 }
 
@@ -60,22 +60,22 @@
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, c.failed(path, err)
+		return nil, c.recordFailure(path, err)
 	}
 	if resp.StatusCode == http.StatusOK {
 		return resp, nil
 	}
 	defer resp.Body.Close()
-	return nil, c.refused(path, resp)
+	return nil, c.statusError(path, resp)
 }
 
-func (c *Client) failed(path string, cause error) error {
-	c.fails.Inc()
+func (c *Client) recordFailure(path string, cause error) error {
+	c.failures.Inc()
 	c.next.Add(1)
 	return errors.WithType(errors.Annotate(cause, path), ErrUnavailable)
 }
 
-func (c *Client) refused(path string, resp *http.Response) error {
+func (c *Client) statusError(path string, resp *http.Response) error {
 	var w WireError
 	raw, _ := io.ReadAll(io.LimitReader(resp.Body, 1<<16))
 	_ = json.Unmarshal(raw, &w)
@@ -85,7 +85,7 @@
 	case codeOutOfRange:
 		return errors.Annotate(ErrCompacted, path)
 	}
-	return c.failed(path, errors.Errorf("status %d: %s", resp.StatusCode, w.Error))
+	return c.recordFailure(path, errors.Errorf("status %d: %s", resp.StatusCode, w.Error))
 }
 
 func (c *Client) call(ctx context.Context, path string, in, out any) error {
@@ -96,8 +96,8 @@
 		return err
 	}
 	defer resp.Body.Close()
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswer)).Decode(out); err != nil {
-		return c.failed(path, err)
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswerBytes)).Decode(out); err != nil {
+		return c.recordFailure(path, err)
 	}
 	return nil
 }
@@ -106,7 +106,7 @@
 func (c *Client) Range(ctx context.Context, prefix string) ([]Pair, int64, error) {
 	var out WireRangeResponse
 	err := c.call(ctx, PathRange, WireRange{Key: []byte(prefix), RangeEnd: PrefixEnd(prefix)}, &out)
-	return pairs(out.Pairs), int64(out.Header.Revision), err
+	return decodePairs(out.Pairs), int64(out.Header.Revision), err
 }
 
 // Do implements Store.
@@ -118,7 +118,7 @@
 	res := TxnResult{Succeeded: out.Succeeded, Revision: int64(out.Header.Revision)}
 	for _, r := range out.Responses {
 		if r.Range != nil {
-			res.Reads = append(res.Reads, pairs(r.Range.Pairs))
+			res.Reads = append(res.Reads, decodePairs(r.Range.Pairs))
 		}
 	}
 	return res, nil
@@ -162,21 +162,21 @@
 	for {
 		var msg WireWatchResponse
 		if err := dec.Decode(&msg); err != nil {
-			return c.failed(PathWatch, err)
+			return c.recordFailure(PathWatch, err)
 		}
 		if msg.Result.CompactRevision > 0 {
 			return errors.Trace(ErrCompacted)
 		}
 		if msg.Result.Canceled {
-			return c.failed(PathWatch, errors.New("cancelled by the service"))
+			return c.recordFailure(PathWatch, errors.New("cancelled by the service"))
 		}
 		if len(msg.Result.Events) > 0 {
-			handle(int64(msg.Result.Header.Revision), events(msg.Result.Events))
+			handle(int64(msg.Result.Header.Revision), decodeEvents(msg.Result.Events))
 		}
 	}
 }
 
-func pairs(in []WirePair) []Pair {
+func decodePairs(in []WirePair) []Pair {
 	out := make([]Pair, 0, len(in))
 	for _, p := range in {
 		out = append(out, Pair{
@@ -187,10 +187,10 @@
 	return out
 }
 
-func events(in []WireEvent) []Event {
+func decodeEvents(in []WireEvent) []Event {
 	out := make([]Event, 0, len(in))
 	for _, e := range in {
-		out = append(out, Event{Pair: pairs([]WirePair{e.Pair})[0], Deleted: e.Type == EventDelete})
+		out = append(out, Event{Pair: decodePairs([]WirePair{e.Pair})[0], Deleted: e.Type == EventDelete})
 	}
 	return out
 }
--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -16,7 +16,7 @@
 // a call that outlasts the drain logs its end while the log is closed. The panic breaks the
 // customers' open connections. The race detector reports that send beside the close in entries
 // under hundreds of calls a second.
-func TestLinesWhileTheLogIsClosed(t *testing.T) {
+func TestLinesDuringClose(t *testing.T) {
 	const rounds, writers, lines = 20, 8, 200
 	for range rounds {
 		set := metrics.NewSet()
@@ -93,7 +93,7 @@
 // TestLogNeverBlocks: a blocked writer delays no caller, as lines beyond the queue are dropped.
 func TestLogNeverBlocks(t *testing.T) {
 	set := metrics.NewSet()
-	stuck := &stuckWriter{release: make(chan struct{})}
+	stuck := &blockedWriter{release: make(chan struct{})}
 	l, closeLog := New(stuck, "info", "e", set)
 	const lines = 3 * queueLength
 	for range lines {
@@ -107,9 +107,9 @@
 }
 
 // blockedWriter blocks each write until it is released.
-type stuckWriter struct{ release chan struct{} }
+type blockedWriter struct{ release chan struct{} }
 
-func (w *stuckWriter) Write(p []byte) (int, error) {
+func (w *blockedWriter) Write(p []byte) (int, error) {
 	<-w.release
 	return len(p), nil
 }
--- a/logging/queue.go
+++ b/logging/queue.go
@@ -14,7 +14,7 @@
 	queueLength = 8192
 	// maxBatchBytes is the size from which waiting lines are no longer added to a
 	// write.
-	writeBytes = 32 << 10
+	maxBatchBytes = 32 << 10
 	// droppedTotal is the metric that counts dropped lines.
 	droppedTotal = "leverstile_log_dropped_total"
 )
@@ -26,18 +26,18 @@
 	out     io.Writer
 	dropped *metrics.Counter
 	lines   chan *bytebufferpool.ByteBuffer
-	written chan struct{} // closed once all lines are written out
+	done    chan struct{} // closed once all lines are written out
 
 	// mu is held for reading while a line is queued, which never blocks. It guards closed.
-	open   sync.RWMutex
+	mu     sync.RWMutex
 	closed bool
 }
 
 func newQueue(out io.Writer, dropped *metrics.Counter) *queue {
 	q := &queue{
 		out: out, dropped: dropped,
-		lines:   make(chan *bytebufferpool.ByteBuffer, queueLength),
-		written: make(chan struct{}),
+		lines: make(chan *bytebufferpool.ByteBuffer, queueLength),
+		done:  make(chan struct{}),
 	}
 	go q.writeOut()
 	return q
@@ -46,8 +46,8 @@
 // Write implements io.Writer. A line that arrives when the queue is full or closed is
 // dropped and counted.
 func (q *queue) Write(line []byte) (int, error) {
-	q.open.RLock()
-	defer q.open.RUnlock()
+	q.mu.RLock()
+	defer q.mu.RUnlock()
 	if q.closed {
 		q.dropped.Inc()
 		return len(line), nil
@@ -65,18 +65,18 @@
 
 // close waits until all queued lines are written out.
 func (q *queue) close() {
-	q.open.Lock()
+	q.mu.Lock()
 	if !q.closed {
 		q.closed = true
 		close(q.lines)
 	}
-	q.open.Unlock()
-	<-q.written
+	q.mu.Unlock()
+	<-q.done
 }
 
 // writeOut writes the queued lines, combining waiting ones into one write.
 func (q *queue) writeOut() {
-	defer close(q.written)
+	defer close(q.done)
 	var batch []byte
 	for line := range q.lines {
 		batch = append(batch[:0], line.B...)
@@ -89,7 +89,7 @@
 
 // gather appends the waiting lines, until the batch reaches maxBatchBytes.
 func (q *queue) gather(batch []byte) []byte {
-	for len(batch) < writeBytes {
+	for len(batch) < maxBatchBytes {
 		select {
 		case line, ok := <-q.lines:
 			if !ok {
--- a/trace/trace.go
+++ b/trace/trace.go
@@ -13,7 +13,7 @@
 )
 
 // maxLineBytes bounds a line.
-const maxLine = 16 << 20
+const maxLineBytes = 16 << 20
 
 // ReadFile reads the trace in a file.
 func ReadFile[H, L any](name string) (H, []L, error) {
@@ -42,7 +42,7 @@
 	var head H
 	var lines []L
 	sc := bufio.NewScanner(r)
-	sc.Buffer(nil, maxLine)
+	sc.Buffer(nil, maxLineBytes)
 	for n := 1; sc.Scan(); n++ {
 		var err error
 		if n == 1 {
