--- a/soak/checks_test.go
+++ b/soak/checks_test.go
@@ -11,10 +11,10 @@
 	"leverstile.dev/platform/wiretest"
 )
 
-// mostStories bounds how many violations of a seed are told in full.
+// maxFullReports bounds the number of violations of a seed that are reported in full.
 const mostStories = 6
 
-// check compares what workers did with what customers were told.
+// check compares what workers did with what customers were answered.
 func (w *world) check() {
 	runs := w.runs()
 	tasks := map[string][]wiretest.RunRecord{}
@@ -24,7 +24,7 @@
 			w.violation(r.Task, fmt.Sprintf("started with another payload %q", r.Payload))
 		}
 		if r.Over {
-			w.violation(r.Task, "it does not fit: "+r.String())
+			w.violation(r.Task, "started beyond the worker's capacity: "+r.String())
 		}
 	}
 	for task, list := range tasks {
@@ -36,11 +36,11 @@
 	w.checkContinued(tasks)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	told := map[string]bool{}
+	reported := map[string]bool{}
 	for _, r := range runs {
-		if id := jobOf(r.Task); w.refused[id] && !told[id] {
-			told[id] = true
-			w.violation(r.Task, "its job was refused and it ran")
+		if id := jobOf(r.Task); w.refused[id] && !reported[id] {
+			reported[id] = true
+			w.violation(r.Task, "its job was refused, but the task was started")
 		}
 	}
 	w.t.Logf("%d jobs accepted, %d refused, %d runs of %d tasks, %d violations",
@@ -57,14 +57,14 @@
 	return all
 }
 
-// checkOnce finds two runs of a task at a time, and starts after an end that was
-// acknowledged. An end that a lapsed lease precedes may be forgotten.
+// checkSingleRun finds overlapping runs of a task, and starts after an acknowledged end. An
+// end may be forgotten if the worker's lease expired before it was acknowledged.
 func (w *world) checkOnce(task string, list []wiretest.RunRecord) {
 	for i, a := range list {
 		for _, b := range list[i+1:] {
 			switch {
 			case a.End.IsZero() || a.End.After(b.Start):
-				w.violation(task, fmt.Sprintf("two runs at once:\n  %s\n  %s", a, b))
+				w.violation(task, fmt.Sprintf("two overlapping runs:\n  %s\n  %s", a, b))
 			case a.How == "done" && !a.Noted.IsZero() && !a.Lapsed:
 				w.violation(task, fmt.Sprintf("started after an acknowledged end:\n  %s\n  %s", a, b))
 			}
@@ -72,8 +72,8 @@
 	}
 }
 
-// Users allow two starts of a task after three workers have crashed under it, by entries
-// that have been without a fault for calmFor.
+// The users allow two starts of a task after three workers have crashed under it, by entries
+// that have been without a fault for faultFreeFor.
 const (
 	crashesAllowed = 3
 	startsAllowed  = 2
@@ -81,7 +81,7 @@
 )
 
 // checkCrashes finds tasks that were started too often after they had crashed their workers,
-// by entries that no fault has met of late.
+// by entries that had no recent fault.
 func (w *world) checkCrashes(task string, list []wiretest.RunRecord) {
 	crashes, after := 0, 0
 	for _, r := range list {
@@ -100,7 +100,7 @@
 	}
 }
 
-// checkOrder finds starts of the second step before the first was done.
+// checkOrder finds starts of the second step before the first step was done.
 func (w *world) checkOrder(task string, list []wiretest.RunRecord, tasks map[string][]wiretest.RunRecord) {
 	if !isSecond(task) {
 		return
@@ -116,7 +116,7 @@
 	}
 }
 
-// violation reports a broken promise with all that is known of the task.
+// violation reports a broken guarantee with all that is known of the task.
 func (w *world) violation(task, text string) {
 	w.violations++
 	w.t.Errorf("task %s: %s", task, text)
@@ -125,8 +125,8 @@
 	}
 }
 
-// story tells the runs of a task, the calls about it that reached workers, and
-// what the entries logged of it and of their ownership meanwhile.
+// taskReport returns the runs of a task, the calls about it that reached workers, and what
+// the entries logged of it and of their ownership in that time.
 func (w *world) story(task string) string {
 	var b strings.Builder
 	var calls []wiretest.CallRecord
@@ -168,14 +168,14 @@
 	return a
 }
 
-// logTime is where a log line has its time.
+// Prefix and format of the time in a log line.
 const (
 	timePrefix = `{"time":"`
 	timeFormat = "2006-01-02T15:04:05.000Z"
 )
 
-// logLines returns the lines that name a task, those that tell who owned which
-// term, and those of owners and faults between two times.
+// logLines returns the lines that name a task, those that show which entry owned which term,
+// and those of owners and faults between two times.
 func (w *world) logLines(task string, from, to time.Time) []string {
 	text, err := os.ReadFile(w.log.Name())
 	if err != nil {
--- a/soak/customers_test.go
+++ b/soak/customers_test.go
@@ -13,7 +13,7 @@
 
 var client = &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 16}}
 
-// call makes a customer's call; 0 means no answer.
+// call makes a customer's call; status 0 means no answer.
 func (w *world) call(p *process, method, id, body string) (int, string) {
 	path := catalogue[kindOf(id)].path
 	req, err := http.NewRequest(method, "http://"+p.front+"/"+path+"/"+id, strings.NewReader(body))
@@ -38,7 +38,7 @@
 
 func isDial(err error) bool { return strings.Contains(err.Error(), "dial tcp") }
 
-// submit hands in a job once and notes what the customer knows of it.
+// submit submits a job once and records the answer as the customer sees it.
 func (w *world) submit(p *process, id string) {
 	status, _ := w.call(p, http.MethodPost, id, bodyOf(id))
 	w.mu.Lock()
@@ -52,7 +52,7 @@
 	}
 }
 
-// firstJob is the number of the job that is handed in before all others.
+// firstJob is the number of the job that is submitted before all others.
 const firstJob = 0xffffff
 
 func (w *world) awaitServing() {
@@ -66,10 +66,10 @@
 			return
 		}
 	}
-	w.t.Fatal("never served")
+	w.t.Fatal("no entry accepted the first job in time")
 }
 
-// customers hand in jobs until end, at a pace of the seed.
+// customers submits jobs until end, at a rate that the seed sets.
 func (w *world) customers(rng *rand.Rand, end time.Time) {
 	var calls sync.WaitGroup
 	pause := 30 + rng.IntN(70)
@@ -89,7 +89,7 @@
 	return slices.Sorted(maps.Keys(w.accepted))
 }
 
-// cancelLasting cancels the jobs that would serve for ever.
+// cancelLongRunning cancels the jobs that would run for ever.
 func (w *world) cancelLasting(ids []string) {
 	end := time.Now().Add(settle)
 	for n, id := range ids {
@@ -107,7 +107,7 @@
 	}
 }
 
-// wantedState is how a job that was accepted must end.
+// wantedState returns the state in which an accepted job must end.
 func (w *world) wantedState(id string) string {
 	switch {
 	case w.hasCrasher(id):
@@ -119,8 +119,8 @@
 	}
 }
 
-// awaitJobs waits until all accepted jobs are shown as done, as failed where a task
-// crashes its workers, or as cancelled.
+// awaitJobs waits until each accepted job is shown in its wanted state: succeeded, failed
+// if one of its tasks crashes its workers, or cancelled.
 func (w *world) awaitJobs() {
 	ids := w.acceptedJobs()
 	w.cancelLasting(ids)
@@ -136,7 +136,7 @@
 				break
 			}
 			if time.Now().After(end) {
-				w.t.Errorf("job %s was accepted and is not done: %d %s", id, status, text)
+				w.t.Errorf("job %s was accepted and has not ended as expected: %d %s", id, status, text)
 				return
 			}
 			time.Sleep(50 * time.Millisecond)
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -12,24 +12,24 @@
 	"leverstile.dev/platform/wiretest"
 )
 
-// series brings faults about until end, each beside the ones that last, and
-// waits until all are over.
-func series(rng *rand.Rand, end time.Time, least, most time.Duration, fault func(seed uint64)) {
+// faultSeries starts a fault after each pause until end, in parallel with those that still
+// last, and waits until all are over.
+func series(rng *rand.Rand, end time.Time, minPause, maxPause time.Duration, fault func(seed uint64)) {
 	var running sync.WaitGroup
 	for time.Now().Before(end) {
 		seed := rng.Uint64()
 		running.Go(func() { fault(seed) })
-		time.Sleep(between(rng, least, most))
+		time.Sleep(between(rng, minPause, maxPause))
 	}
 	running.Wait()
 }
 
-func between(rng *rand.Rand, least, most time.Duration) time.Duration {
-	return least + time.Duration(rng.Int64N(int64(most-least)))
+func between(rng *rand.Rand, shortest, longest time.Duration) time.Duration {
+	return shortest + time.Duration(rng.Int64N(int64(longest-shortest)))
 }
 
-// faults lets customers call while faults of entries, of the store's paths, of
-// workers and of the owner come in series and overlap.
+// faults lets customers submit jobs while series of faults of entries, of their connections
+// to the store, of workers and of the owner overlap.
 func (w *world) faults() {
 	var running sync.WaitGroup
 	end := time.Now().Add(*soakFor)
@@ -44,7 +44,7 @@
 	running.Wait()
 }
 
-// rng returns one of the seed's sources. Which process or call meets what still
+// rng returns one of the seed's random streams. Which process or call a fault affects still
 // depends on timing; the series themselves do not.
 func (w *world) rng(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(w.seed, stream)) }
 
@@ -53,7 +53,7 @@
 		time.Now().UTC().Format(timeFormat), who, what, length)
 }
 
-// entryFault is one fault of a process, of its path to the store, or of the store.
+// entryFault injects one fault of a process, of its connection to the store, or of the store.
 func (w *world) entryFault(seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 0))
 	p := w.procs[rng.IntN(len(w.procs))]
@@ -64,7 +64,7 @@
 	case kind < 9:
 		w.pathFault(p, []mode{delaying, silent, deafOne, resetting, slow}[kind-4], length)
 	case kind == 9:
-		length /= 3 // it meets all entries
+		length /= 3 // it affects all entries
 		f := []wiretest.Fault{wiretest.FaultBusy, wiretest.FaultLost, wiretest.FaultDrop}[rng.IntN(3)]
 		w.logFault("store", fmt.Sprint("store fault ", f), length)
 		w.store.SetFault(func(string, string) wiretest.Fault { return f })
@@ -93,7 +93,7 @@
 		p.end(syscall.SIGTERM)
 		w.start(p)
 	case 2:
-		if length%2 == 0 { // by the seed
+		if length%2 == 0 { // the seed decides
 			w.logFault(p.name, "suspended", length)
 			w.suspend(p, length)
 			return
@@ -109,7 +109,7 @@
 	}
 }
 
-// longestPause of a slow process stays below what it takes for a freeze.
+// maxProcessPause, the longest pause of a slowed process, stays below the time that counts as a freeze.
 const longestPause = 480 * time.Millisecond
 
 // pause stops a process for a time.
@@ -119,8 +119,8 @@
 	_ = p.cmd.Process.Signal(syscall.SIGCONT)
 }
 
-// suspend stops a process as if its VM were suspended: its monotonic clock does not count
-// the time, see the package clock.
+// suspend stops a process as if its VM were suspended: the package clock leaves the time out
+// of the process's monotonic clock, by the file that suspend writes.
 func (w *world) suspend(p *process, length time.Duration) {
 	_ = p.cmd.Process.Signal(syscall.SIGSTOP)
 	time.Sleep(length)
@@ -132,7 +132,7 @@
 	_ = p.cmd.Process.Signal(syscall.SIGCONT)
 }
 
-// pathFault is a fault of a process's path to the store.
+// pathFault injects a fault of a process's connection to the store.
 func (w *world) pathFault(p *process, m mode, length time.Duration) {
 	if !p.path.TryLock() {
 		return
@@ -144,7 +144,7 @@
 	p.proxy.set(passing)
 }
 
-// ownerFault meets the owner, or ends all entries at once.
+// ownerFault injects a fault of the owner, or kills all entries at once.
 func (w *world) ownerFault(seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 0))
 	kind, length := rng.IntN(9), between(rng, 300*time.Millisecond, 3500*time.Millisecond)
@@ -157,15 +157,15 @@
 		return
 	}
 	switch kind {
-	case 2: // its next life takes over at once
+	case 2: // the restarted process can take over at once
 		w.signalFault(p, 0, 0)
 	case 3:
 		w.signalFault(p, 1, 0)
 	case 4, 5:
 		w.signalFault(p, kind-2, length)
-	case 6: // the store lets its lease lapse and it goes on for a while
+	case 6: // its lease in the store expires and it continues for a while
 		w.pathFault(p, []mode{silent, deafOne, resetting}[rng.IntN(3)], 2*length)
-	default: // it hands over and its word does not come through
+	default: // it hands over while its connection to the store fails
 		var ends sync.WaitGroup
 		ends.Go(func() { w.signalFault(p, 1, 0) })
 		w.pathFault(p, []mode{silent, deafOne, slow, resetting}[rng.IntN(4)], length)
@@ -194,8 +194,8 @@
 	starts.Wait()
 }
 
-// unwell are the ways in which a worker is unwell for some seconds: each call
-// that is not served meets one of the faults.
+// callFaultMixes are the mixes of faults of a worker that fails calls for some seconds: each
+// call that is not served meets one fault of the mix.
 var unwell = [][]wiretest.WorkerFault{
 	{wiretest.WorkerUnwell},
 	{wiretest.WorkerBusy},
@@ -212,10 +212,10 @@
 	},
 }
 
-// drainEvery is how many faults of workers there are for one that drains and leaves.
+// drainEvery is the number of faults of workers for each one that drains and ends a worker.
 const drainEvery = 10
 
-// workerFault is one fault of a worker or of the path to it.
+// workerFault injects one fault of a worker or of the connections to it.
 func (w *world) workerFault(seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 0))
 	i := rng.IntN(len(w.workers))
@@ -243,12 +243,12 @@
 	case kind < 17:
 		w.logFault(name, "crash", length/4)
 		if kind == 16 {
-			path.set(silent) // nothing refuses connections
+			path.set(silent) // while it is down, connections are not refused either
 		}
 		worker.Crash(fmt.Sprintf("%s-%x", worker.ID, seed>>32), length/4)
 		path.set(passing)
 	case kind < 19:
-		w.logFault(name, "smaller room", 2*length)
+		w.logFault(name, "smaller capacity", 2*length)
 		worker.Resize(smallRoom, roomNotice)
 		time.Sleep(2 * length)
 		worker.Resize(largeRoom, roomNotice)
@@ -260,14 +260,14 @@
 	}
 }
 
-// Rooms of workers that shrink and grow, thousandths of a core, and the time that users
-// give entries to hear of it: the time within which they are in touch, and a heartbeat.
+// CPU capacities of workers that shrink and grow, in thousandths of a core, and the time that
+// users give entries to learn of a change: the contact timeout of 3 s and a heartbeat of 1 s.
 const (
 	smallRoom, largeRoom = 2000, 9000
 	roomNotice           = 4 * time.Second
 )
 
-// unwell lets a share of a worker's calls, or of the starts alone, fail.
+// callFaults makes a share of a worker's calls, or of the starts alone, fail.
 func (w *world) unwell(rng *rand.Rand, worker *wiretest.Worker, length time.Duration) {
 	kinds := unwell[rng.IntN(len(unwell))]
 	share, startsOnly := min(0.2+rng.Float64(), 1), rng.IntN(2) == 0
@@ -282,7 +282,7 @@
 	worker.SetFault(nil)
 }
 
-// calm ends all faults.
+// endFaults ends all faults.
 func (w *world) calm() {
 	w.calmSince = time.Now()
 	w.calmed.Store(true)
--- a/soak/jobs_test.go
+++ b/soak/jobs_test.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// kind is what a job is like. It is the first digit of the job's id.
+// kind is the kind of a job. It is the first digit of the job's id.
 type kind int
 
 // Kinds of jobs.
 const (
 	plain    kind = iota // four tasks and then two larger ones; no checkpoints
-	fills                // uses what others leave, and makes room for urgent ones
-	urgent               // needs memory
-	ganged               // its tasks work together
-	repeated             // due at several times that overlap, with a gang
-	lasting              // serves until it is cancelled
+	fills                // fill tasks: they use only processor time that others leave, and give way to urgent jobs
+	urgent               // needs much memory
+	ganged               // its tasks form a gang: they run together or not at all
+	repeated             // due several times in overlapping periods, with a gang
+	lasting              // runs until it is cancelled
 	kinds
 )
 
@@ -39,13 +39,13 @@
 	length time.Duration
 }
 
-// firstTasks is the tasks of the first step of a plain job.
+// firstTasks is the number of tasks of the first step of a plain job.
 const firstTasks = 4
 
-// targetMS is the tail that lasting tasks must stay below.
+// targetMS is the tail latency that long-running tasks must stay below.
 const targetMS = 50
 
-// catalogue tells the queue's path and the steps of each kind.
+// catalogue holds the queue's path and the steps of each kind.
 var catalogue = [kinds]struct {
 	path  string
 	share int // of 100 jobs
@@ -65,7 +65,7 @@
 	lasting: {"c", 3, []step{{Count: 2, CPU: 300, MemoryMB: 200, Lasting: true, Image: "serve", TargetMS: targetMS, Checkpoints: true, length: 3}}},
 }
 
-// Times of repeated jobs.
+// Due times of repeated jobs.
 const (
 	repeats      = 3
 	firstAfter   = 500 * time.Millisecond
@@ -93,7 +93,7 @@
 
 func payloadOf(id string) string { return "payload of " + id }
 
-// bodyOf is a job as customers send it.
+// bodyOf returns a job as customers send it.
 func bodyOf(id string) string {
 	body := map[string]any{"spec": payloadOf(id), "steps": catalogue[kindOf(id)].steps}
 	if kindOf(id) == repeated {
@@ -124,7 +124,7 @@
 
 func isSecond(task string) bool { return len(stepOf(task).After) > 0 }
 
-// needsOf tells the workers what a task takes; fills use what others leave.
+// needsOf returns what a task takes of a worker's capacity; a fill task takes no reserved CPU.
 func needsOf(task string) (cpu, memory int) {
 	s := stepOf(task)
 	if s.Fills {
@@ -144,7 +144,7 @@
 	return 0
 }
 
-// Readings of tasks: a lasting one is over its target for a part of the time.
+// Readings of tasks: a long-running one exceeds its target for a part of each period.
 const (
 	tailPeriod, tailOver = 4 * time.Second, 1500 * time.Millisecond
 	lowTail, highTail    = targetMS / 2, 2 * targetMS
--- a/soak/process_test.go
+++ b/soak/process_test.go
@@ -40,7 +40,7 @@
 `
 
 // process is one leverstile node. A fault that signals it holds signals, one of its
-// path to the store holds path.
+// connection to the store holds path.
 type process struct {
 	name  string
 	front string
@@ -49,14 +49,14 @@
 	cmd   *exec.Cmd
 	done  chan struct{}
 
-	// suspended is for how long its VM was suspended, over all its lives.
+	// suspended is for how long its VM was suspended, over all restarts.
 	suspended time.Duration
 
 	signals, path sync.Mutex
 }
 
-// Ports of processes come from below the range of which the system takes ports
-// for connections: between two lives of a process its port must stay free.
+// Ports of processes are below the range from which the system takes ports for outgoing
+// connections: the port of a process must stay free while it is restarted.
 const (
 	firstPort = 10_000
 	lastPort  = 32_000
@@ -94,7 +94,7 @@
 
 func (p *process) suspendedFile() string { return filepath.Join(p.dir, "suspended") }
 
-// start runs a process, and again if it ends at once, as the platform does.
+// start runs a process, and restarts it if it ends at once, as the platform does.
 func (w *world) start(p *process) {
 	for range 10 {
 		w.startOnce(p)
@@ -122,7 +122,7 @@
 	go func() { _ = cmd.Wait(); close(done) }()
 }
 
-// end signals a process of this soak and waits until it is gone.
+// end signals a process of this soak and waits until it has ended.
 func (p *process) end(sig syscall.Signal) {
 	_ = p.cmd.Process.Signal(sig)
 	select {
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -13,23 +13,23 @@
 
 const (
 	passing   mode = iota
-	delaying       // each chunk comes late
-	silent         // nothing comes through, in either direction
-	deafOne        // requests go through, answers do not
+	delaying       // each chunk is delayed
+	silent         // nothing is forwarded, in either direction
+	deafOne        // requests are forwarded, answers are not
 	resetting      // connections are reset, new ones too
-	losing         // a share of the connections is reset before an answer comes through
-	slow           // each chunk comes so late that calls time out before
+	losing         // a share of the connections is reset before an answer is forwarded
+	slow           // each chunk is delayed so long that calls time out
 )
 
 func (m mode) String() string {
 	return []string{"passing", "delaying", "silent", "deaf one way", "resetting", "losing answers", "slow"}[m]
 }
 
-// lossShare of a losing proxy.
+// lossShare is the share of the answers at which a losing proxy resets the connection.
 const lossShare = 0.4
 
-// proxy stands before the store for one process, or before one worker for all.
-// Its lock guards mode and conns.
+// proxy forwards connections to the store for one process, or to one worker for all
+// processes. Its lock guards mode and conns.
 type proxy struct {
 	listener net.Listener
 	target   string
@@ -104,7 +104,7 @@
 	p.mu.Unlock()
 }
 
-// copy moves bytes as the mode says; held bytes are lost when the connection ends.
+// copy forwards bytes as the mode says; bytes held back are lost when the connection ends.
 func (p *proxy) copy(to, from net.Conn, answers bool) {
 	defer func() { _ = to.Close(); _ = from.Close() }()
 	buf := make([]byte, 32<<10)
--- a/soak/races_test.go
+++ b/soak/races_test.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// racesName begins the names of the files that processes report data races to.
+// raceReportPrefix is how the names of the files start to which processes write data races.
 const racesName = "races"
 
-// checkRaces finds data races that processes have reported.
+// checkRaces fails the test if a process has reported a data race.
 func (w *world) checkRaces() {
 	for _, p := range w.procs {
 		files, err := filepath.Glob(filepath.Join(p.dir, racesName+".*"))
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -23,29 +23,30 @@
 	soakSeeds = flag.Uint64("soak.seeds", 2, "number of seeds")
 	soakFirst = flag.Uint64("soak.first", 1, "first seed")
 	soakFor   = flag.Duration("soak.for", 8*time.Second, "length of the faults of one seed")
-	soakLag   = flag.Duration("soak.lag", 0, "most that workers read their clocks later than their lists")
-	soakLoad  = flag.Float64("soak.load", 1, "factor of the pace of customers' jobs")
-	soakGap   = flag.Duration("soak.gap", 0, "most that workers take from the check of a start's term to the start")
+	soakLag   = flag.Duration("soak.lag", 0, "maximum time by which workers read their clocks after their lists")
+	soakLoad  = flag.Float64("soak.load", 1, "factor of the rate of customers' jobs")
+	soakGap   = flag.Duration("soak.gap", 0, "maximum time at workers from the check of a start's term to the start")
 	soakRace  = flag.Bool("soak.race", false, "look for data races in the processes")
-	// Sizes of the world; 0 leaves them to the seed.
+	// Sizes of the simulated cell; 0 leaves them to the seed.
 	soakWorkers = flag.Int("soak.workers", 0, "number of workers")
 	soakEntries = flag.Int("soak.entries", 0, "number of entries")
 	soakSameID  = flag.Bool("soak.sameid", false, "workers restart under the ids that they had, with all seeds")
 	soakLogs    = flag.String("soak.logs", "", "directory for the logs of seeds that fail")
 )
 
-// failedSeeds are kept as regression cases, with a line on the cause.
+// failedSeeds are kept as regression cases, with a note on the cause.
 var failedSeeds = []uint64{
-	// A start whose connection ended after the worker had carried it out was sent
-	// again below the core; the second copy met a worker that refused for being
-	// unwell, and the task was started elsewhere while its first run worked on.
+	// The connection of a start ended after the worker had carried it out, and the start
+	// was resent below the core. The worker was failing calls and refused the second copy,
+	// so the task was started elsewhere while its first run continued.
 	308,
-	// An owner was killed 66 ms after a task had crashed its first worker, before
-	// anything of that was written; the next one fed it five more.
+	// An owner was killed 66 ms after a task had crashed its first worker, before it had
+	// written anything about the crash; the next owner started the task on five more
+	// workers.
 	1000,
 }
 
-// settle bounds the wait for the end of all jobs once the faults are over.
+// settleTimeout bounds the wait for the end of all jobs once the faults are over.
 const settle = 90 * time.Second
 
 const config = `{"version":%d,"routes":[
@@ -54,27 +55,28 @@
 {"name":"other","host":"h.example","path_prefix":"/c/","timeout_ms":3000,"target_latency_ms":4000,"priority":1,"service":"svc","max_attempts":1000,"stretch":6}],
 "services":[{"name":"svc","admission_check":%v}],"limits":{"max_body_bytes":100000}}`
 
-// Sizes of a seed's world, from the least to the most.
+// Sizes of a seed's cell.
 const (
 	leastEntries, mostEntries = 6, 9
 	leastWorkers, mostWorkers = 8, 12
-	// leastWork and mostWork bound how long a task works.
+	// minWork and maxWork bound how long a task works.
 	leastWork, mostWork = 200 * time.Millisecond, 2 * time.Second
 	longestStop         = 800 * time.Millisecond
-	// longestAway is the most that a worker is away after a task has crashed it.
+	// maxDowntime bounds how long a worker is unavailable after a task has crashed it.
 	longestAway = 2 * time.Second
-	// crashEvery is how many jobs there are for one with a task that crashes its workers.
+	// crashEvery is the number of jobs for each one with a task that crashes its workers.
 	crashEvery = 40
 	slowClock  = 0.98
-	// lateShare is the part of the answers of some workers that others overtake, for a
-	// time between the two bounds.
+	// lateShare is the share of the answers of some workers that are delayed, so that
+	// later ones overtake them, for a time between the two bounds.
 	lateShare              = 0.1
 	leastLate, longestLate = 10 * time.Millisecond, 800 * time.Millisecond
 	restore                = 100 * time.Millisecond
 )
 
-// world is one seed's run. Its lock guards the maps; wards and paths are those of
-// the workers: a fault of a worker holds its ward.
+// world is the run of one seed: a store, workers, entries and customers. Its lock guards the
+// maps; workerLocks and workerProxies are indexed as workers: a fault of a worker holds its
+// lock.
 type world struct {
 	t       *testing.T
 	seed    uint64
@@ -89,13 +91,13 @@
 	maxLease time.Duration
 
 	violations int
-	// calmSince is when the last fault was over.
+	// faultsEnded is when the last fault was over.
 	calmSince time.Time
 	calmed    atomic.Bool
 
 	mu       sync.Mutex
 	accepted map[string]bool
-	refused  map[string]bool // only ever refused
+	refused  map[string]bool // each submission so far was refused
 }
 
 func TestSoak(t *testing.T) {
@@ -145,7 +147,7 @@
 	w.faults()
 	w.calm()
 	w.awaitJobs()
-	w.endEntries() // records of all workers are read while nothing new starts
+	w.endEntries() // the records of all workers are read while no new runs start
 	w.check()
 	w.checkRaces()
 	if t.Failed() {
@@ -155,15 +157,15 @@
 	_ = os.Remove(log.Name())
 }
 
-// sizeOr returns the size of a flag, or if there is none that of the seed.
-func sizeOr(seeds, flag int) int {
+// sizeOr returns the size that a flag sets, or that of the seed if the flag is 0.
+func sizeOr(ofSeed, flag int) int {
 	if flag > 0 {
 		return flag
 	}
-	return seeds
+	return ofSeed
 }
 
-// addWorker starts a worker behind a proxy. Some have a slow clock.
+// addWorker starts a worker behind a proxy. One in three has a slow clock, on average.
 func (w *world) addWorker(i int, rng *rand.Rand) {
 	rate := 1.0
 	if rng.IntN(3) == 0 {
@@ -171,7 +173,7 @@
 	}
 	clocks := w.rng(clockStream + uint64(i))
 	worker := wiretest.StartWorker(w.store, wiretest.WorkerOptions{
-		SameID: w.sameID(), ClockStart: func(life int) int64 { return clockOf(clocks, life) }, TimeOfDay: func() int64 { return timeOfDay(clocks) },
+		SameID: w.sameID(), ClockStart: func(incarnation int) int64 { return clockOf(clocks, incarnation) }, TimeOfDay: func() int64 { return timeOfDay(clocks) },
 		ID: fmt.Sprintf("i-%d", i), Service: "svc", Zone: fmt.Sprintf("z%d", i%3),
 		CPU: 5000 + 1000*rng.IntN(9), MemoryMB: 8000, Needs: needsOf, Work: w.workOf, MaxLease: w.maxLease,
 		StopTime: func() time.Duration { return rand.N(longestStop) }, ClockRate: rate, ClockLag: *soakLag, StartGap: *soakGap,
@@ -179,34 +181,35 @@
 		Checkpoints: checkpoints, Restore: restore, GangSize: gangSize, Lasting: lasts, Progress: true, Reading: readingOf,
 		Delay: w.delayOf(i), Wrap: w.wrapWorker,
 	})
-	failing := i < mostWorkers // a large world would fail the same tasks hundreds of times
+	failing := i < mostWorkers // in a large cell the same tasks would fail hundreds of times
 	worker.FailIf(func(task string, start int) bool { return failing && start == 1 && strings.HasSuffix(task, "3") })
 	w.workers = append(w.workers, worker)
 }
 
-// Figures of the clocks of workers that restart under the same id.
+// Limits of the clocks of workers.
 const (
-	// clockStream is the first of the seed's sources for them.
+	// clockStream is the first of the seed's random streams for them.
 	clockStream = 1000
-	// mostAhead is the most that the clock of a life shows at its beginning, milliseconds.
+	// maxClockStart is the maximum that the clock of an incarnation shows at its start, in
+	// milliseconds.
 	mostAhead = 500_000
-	// mostJumpBack is how far the time of day may jump back between two lives.
+	// maxJumpBack is the maximum by which the time of day is behind the true time.
 	mostJumpBack = time.Hour
 )
 
 // sameID reports whether the workers of this seed restart under the ids that they had.
 func (w *world) sameID() bool { return *soakSameID || slices.Contains([]uint64{1, 3, 5}, w.seed%7) }
 
-// clockOf is what the clock of a life shows when it begins: that of a later one often
-// little.
-func clockOf(rng *rand.Rand, life int) int64 {
-	if life > 1 && rng.IntN(2) == 0 {
+// clockOf returns what the clock of an incarnation shows at its start: 1 for about half of
+// the later incarnations.
+func clockOf(rng *rand.Rand, incarnation int) int64 {
+	if incarnation > 1 && rng.IntN(2) == 0 {
 		return 1
 	}
 	return 1 + rng.Int64N(mostAhead)
 }
 
-// timeOfDay is a worker's time of day in Unix milliseconds, which jumps back now and then.
+// timeOfDay returns a worker's time of day in Unix milliseconds, which sometimes jumps back.
 func timeOfDay(rng *rand.Rand) int64 {
 	now := time.Now()
 	if rng.IntN(4) == 0 {
@@ -215,8 +218,8 @@
 	return now.UnixMilli()
 }
 
-// delayOf returns for how long a worker's answers are held back: those of every other one
-// come in order.
+// delayOf returns for how long a worker's answers are delayed; every other worker answers in
+// order.
 func (w *world) delayOf(worker int) func(path string) time.Duration {
 	if worker%2 == 0 {
 		return nil
@@ -229,7 +232,7 @@
 	}
 }
 
-// unguarded reports whether the workers of this seed start also what does not fit.
+// unguarded reports whether the workers of this seed start tasks beyond their capacity too.
 func (w *world) unguarded() bool { return w.seed%2 == 0 }
 
 // crashes reports whether a task of this seed crashes the workers that start it.
@@ -256,7 +259,7 @@
 	return p.address()
 }
 
-// workOf is how long a task of this seed works.
+// workOf returns how long a task of this seed works.
 func (w *world) workOf(task string) time.Duration {
 	h := fnv.New32a()
 	_, _ = fmt.Fprint(h, w.seed, task)
