--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -271,7 +271,7 @@
 func (w *world) unwell(rng *rand.Rand, worker *wiretest.Worker, length time.Duration) {
 	kinds := unwell[rng.IntN(len(unwell))]
 	share, startsOnly := min(0.2+rng.Float64(), 1), rng.IntN(2) == 0
-	w.logFault(worker.ID, fmt.Sprintf("unwell %v share %.2f starts only %v", kinds, share, startsOnly), length)
+	w.logFault(worker.ID, fmt.Sprintf("call faults %v share %.2f starts only %v", kinds, share, startsOnly), length)
 	worker.SetFault(func(path string) wiretest.WorkerFault { // called under the worker's lock
 		if startsOnly && path != "/run-start" || rng.Float64() >= share {
 			return wiretest.WorkerSound
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -22,7 +22,7 @@
 )
 
 func (m mode) String() string {
-	return []string{"passing", "delaying", "silent", "deaf one way", "resetting", "losing answers", "slow"}[m]
+	return []string{"passing", "delaying", "silent", "requests only", "resetting", "losing answers", "slow"}[m]
 }
 
 // lossShare is the share of the answers at which a losing proxy resets the connection.
