--- a/soak/checkpoints_test.go
+++ b/soak/checkpoints_test.go
@@ -12,7 +12,7 @@
 func (w *world) checkCheckpoints(runs []wiretest.RunRecord) {
 	origins := map[string]int{}
 	for _, r := range runs {
-		if r.Unlike {
+		if r.DiffersInGang {
 			w.violation(r.Task, "starts of members of its gang carried different checkpoints: "+r.String())
 		}
 		if r.Checkpoint == "" {
@@ -42,12 +42,12 @@
 // checkResumed finds runs that ended before they were done, whose end their owner
 // acknowledged, and after which the same owner's next start does not resume from the
 // checkpoint of that end. A gang may resume from the checkpoint of another member.
-func (w *world) checkContinued(tasks map[string][]wiretest.RunRecord) {
+func (w *world) checkResumed(tasks map[string][]wiretest.RunRecord) {
 	resumed := map[string]int{}
 	for task, list := range tasks {
 		for i, a := range list[:len(list)-1] {
 			b := list[i+1]
-			if a.Saved == "" || ownerOf(a.NotedTerm) != ownerOf(b.Term) || a.Noted.After(b.Ordered) {
+			if a.Saved == "" || ownerOf(a.AcknowledgedTerm) != ownerOf(b.Term) || a.Acknowledged.After(b.Ordered) {
 				continue
 			}
 			if b.Checkpoint == a.Saved || gangSize(task) > 0 && b.Checkpoint != "" {
--- a/soak/checks_test.go
+++ b/soak/checks_test.go
@@ -12,7 +12,7 @@
 )
 
 // maxFullReports bounds the number of violations of a seed that are reported in full.
-const mostStories = 6
+const maxFullReports = 6
 
 // check compares what workers did with what customers were answered.
 func (w *world) check() {
@@ -23,17 +23,17 @@
 		if r.Payload != payloadOf(jobOf(r.Task)) {
 			w.violation(r.Task, fmt.Sprintf("started with another payload %q", r.Payload))
 		}
-		if r.Over {
+		if r.OverCapacity {
 			w.violation(r.Task, "started beyond the worker's capacity: "+r.String())
 		}
 	}
 	for task, list := range tasks {
-		w.checkOnce(task, list)
+		w.checkSingleRun(task, list)
 		w.checkOrder(task, list, tasks)
 		w.checkCrashes(task, list)
 	}
 	w.checkCheckpoints(runs)
-	w.checkContinued(tasks)
+	w.checkResumed(tasks)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	reported := map[string]bool{}
@@ -59,13 +59,13 @@
 
 // checkSingleRun finds overlapping runs of a task, and starts after an acknowledged end. An
 // end may be forgotten if the worker's lease expired before it was acknowledged.
-func (w *world) checkOnce(task string, list []wiretest.RunRecord) {
+func (w *world) checkSingleRun(task string, list []wiretest.RunRecord) {
 	for i, a := range list {
 		for _, b := range list[i+1:] {
 			switch {
 			case a.End.IsZero() || a.End.After(b.Start):
 				w.violation(task, fmt.Sprintf("two overlapping runs:\n  %s\n  %s", a, b))
-			case a.How == "done" && !a.Noted.IsZero() && !a.Lapsed:
+			case a.How == "done" && !a.Acknowledged.IsZero() && !a.LeaseExpired:
 				w.violation(task, fmt.Sprintf("started after an acknowledged end:\n  %s\n  %s", a, b))
 			}
 		}
@@ -77,7 +77,7 @@
 const (
 	crashesAllowed = 3
 	startsAllowed  = 2
-	calmFor        = 3 * time.Second
+	faultFreeFor   = 3 * time.Second
 )
 
 // checkCrashes finds tasks that were started too often after they had crashed their workers,
@@ -85,7 +85,7 @@
 func (w *world) checkCrashes(task string, list []wiretest.RunRecord) {
 	crashes, after := 0, 0
 	for _, r := range list {
-		if crashes >= crashesAllowed && r.Start.After(w.calmSince.Add(calmFor)) {
+		if crashes >= crashesAllowed && r.Start.After(w.faultsEnded.Add(faultFreeFor)) {
 			after++
 		}
 		if w.crashes(task) && r.How == "crashed" {
@@ -102,7 +102,7 @@
 
 // checkOrder finds starts of the second step before the first step was done.
 func (w *world) checkOrder(task string, list []wiretest.RunRecord, tasks map[string][]wiretest.RunRecord) {
-	if !isSecond(task) {
+	if !isSecondStep(task) {
 		return
 	}
 	for i := range firstTasks {
@@ -120,14 +120,14 @@
 func (w *world) violation(task, text string) {
 	w.violations++
 	w.t.Errorf("task %s: %s", task, text)
-	if w.violations <= mostStories {
-		w.t.Log(w.story(task))
+	if w.violations <= maxFullReports {
+		w.t.Log(w.taskReport(task))
 	}
 }
 
 // taskReport returns the runs of a task, the calls about it that reached workers, and what
 // the entries logged of it and of their ownership in that time.
-func (w *world) story(task string) string {
+func (w *world) taskReport(task string) string {
 	var b strings.Builder
 	var calls []wiretest.CallRecord
 	from, to := time.Now(), time.Time{}
@@ -140,7 +140,7 @@
 		for _, c := range worker.Calls() {
 			if c.Task == task {
 				calls = append(calls, c)
-				from, to = minTime(from, c.Came), maxTime(to, c.Done)
+				from, to = minTime(from, c.Received), maxTime(to, c.Done)
 			}
 		}
 	}
--- a/soak/customers_test.go
+++ b/soak/customers_test.go
@@ -57,7 +57,7 @@
 
 func (w *world) awaitServing() {
 	id := idOf(plain, firstJob)
-	for end := time.Now().Add(settle); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(settleTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		w.submit(w.procs[0], id)
 		w.mu.Lock()
 		ok := w.accepted[id]
@@ -90,10 +90,10 @@
 }
 
 // cancelLongRunning cancels the jobs that would run for ever.
-func (w *world) cancelLasting(ids []string) {
-	end := time.Now().Add(settle)
+func (w *world) cancelLongRunning(ids []string) {
+	end := time.Now().Add(settleTimeout)
 	for n, id := range ids {
-		for kindOf(id) == lasting {
+		for kindOf(id) == longRunning {
 			status, _ := w.call(w.procs[n%len(w.procs)], http.MethodDelete, id, "")
 			if status == http.StatusOK {
 				break
@@ -112,7 +112,7 @@
 	switch {
 	case w.hasCrasher(id):
 		return "failed"
-	case kindOf(id) == lasting:
+	case kindOf(id) == longRunning:
 		return "cancelled"
 	default:
 		return "succeeded"
@@ -123,8 +123,8 @@
 // if one of its tasks crashes its workers, or cancelled.
 func (w *world) awaitJobs() {
 	ids := w.acceptedJobs()
-	w.cancelLasting(ids)
-	end := time.Now().Add(settle)
+	w.cancelLongRunning(ids)
+	end := time.Now().Add(settleTimeout)
 	for n, id := range ids {
 		for {
 			status, text := w.call(w.procs[n%len(w.procs)], http.MethodGet, id, "")
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -14,7 +14,7 @@
 
 // faultSeries starts a fault after each pause until end, in parallel with those that still
 // last, and waits until all are over.
-func series(rng *rand.Rand, end time.Time, minPause, maxPause time.Duration, fault func(seed uint64)) {
+func faultSeries(rng *rand.Rand, end time.Time, minPause, maxPause time.Duration, fault func(seed uint64)) {
 	var running sync.WaitGroup
 	for time.Now().Before(end) {
 		seed := rng.Uint64()
@@ -34,12 +34,12 @@
 	var running sync.WaitGroup
 	end := time.Now().Add(*soakFor)
 	running.Go(func() { w.customers(w.rng(1), end) })
-	running.Go(func() { series(w.rng(2), end, 300*time.Millisecond, 2*time.Second, w.entryFault) })
-	running.Go(func() { series(w.rng(3), end, 50*time.Millisecond, 800*time.Millisecond, w.workerFault) })
+	running.Go(func() { faultSeries(w.rng(2), end, 300*time.Millisecond, 2*time.Second, w.entryFault) })
+	running.Go(func() { faultSeries(w.rng(3), end, 50*time.Millisecond, 800*time.Millisecond, w.workerFault) })
 	running.Go(func() {
 		rng := w.rng(4)
 		time.Sleep(between(rng, time.Second, 4*time.Second))
-		series(rng, end, 2*time.Second, 7*time.Second, w.ownerFault)
+		faultSeries(rng, end, 2*time.Second, 7*time.Second, w.ownerFault)
 	})
 	running.Wait()
 }
@@ -62,7 +62,7 @@
 	case kind < 4:
 		w.signalFault(p, kind, length)
 	case kind < 9:
-		w.pathFault(p, []mode{delaying, silent, deafOne, resetting, slow}[kind-4], length)
+		w.pathFault(p, []mode{delaying, silent, requestsOnly, resetting, slow}[kind-4], length)
 	case kind == 9:
 		length /= 3 // it affects all entries
 		f := []wiretest.Fault{wiretest.FaultBusy, wiretest.FaultLost, wiretest.FaultDrop}[rng.IntN(3)]
@@ -103,14 +103,14 @@
 	default:
 		w.logFault(p.name, "slow", length)
 		for end := time.Now().Add(length); time.Now().Before(end); {
-			p.pause(20*time.Millisecond + rand.N(longestPause))
+			p.pause(20*time.Millisecond + rand.N(maxProcessPause))
 			time.Sleep(10*time.Millisecond + rand.N(90*time.Millisecond))
 		}
 	}
 }
 
 // maxProcessPause, the longest pause of a slowed process, stays below the time that counts as a freeze.
-const longestPause = 480 * time.Millisecond
+const maxProcessPause = 480 * time.Millisecond
 
 // pause stops a process for a time.
 func (p *process) pause(length time.Duration) {
@@ -139,9 +139,9 @@
 	}
 	defer p.path.Unlock()
 	w.logFault(p.name, fmt.Sprint("store path ", m), length)
-	p.proxy.set(m)
+	p.proxy.setMode(m)
 	time.Sleep(length)
-	p.proxy.set(passing)
+	p.proxy.setMode(passing)
 }
 
 // ownerFault injects a fault of the owner, or kills all entries at once.
@@ -164,11 +164,11 @@
 	case 4, 5:
 		w.signalFault(p, kind-2, length)
 	case 6: // its lease in the store expires and it continues for a while
-		w.pathFault(p, []mode{silent, deafOne, resetting}[rng.IntN(3)], 2*length)
+		w.pathFault(p, []mode{silent, requestsOnly, resetting}[rng.IntN(3)], 2*length)
 	default: // it hands over while its connection to the store fails
 		var ends sync.WaitGroup
 		ends.Go(func() { w.signalFault(p, 1, 0) })
-		w.pathFault(p, []mode{silent, deafOne, slow, resetting}[rng.IntN(4)], length)
+		w.pathFault(p, []mode{silent, requestsOnly, slow, resetting}[rng.IntN(4)], length)
 		ends.Wait()
 	}
 }
@@ -196,19 +196,19 @@
 
 // callFaultMixes are the mixes of faults of a worker that fails calls for some seconds: each
 // call that is not served meets one fault of the mix.
-var unwell = [][]wiretest.WorkerFault{
-	{wiretest.WorkerUnwell},
+var callFaultMixes = [][]wiretest.WorkerFault{
+	{wiretest.WorkerUnavailable},
 	{wiretest.WorkerBusy},
-	{wiretest.WorkerUnwell, wiretest.WorkerLost},
-	{wiretest.WorkerUnwell, wiretest.WorkerBusy, wiretest.WorkerDrop, wiretest.WorkerLost},
+	{wiretest.WorkerUnavailable, wiretest.WorkerLost},
+	{wiretest.WorkerUnavailable, wiretest.WorkerBusy, wiretest.WorkerDrop, wiretest.WorkerLost},
 	{wiretest.WorkerFails, wiretest.WorkerFailsAfter},
 	{wiretest.WorkerDrop, wiretest.WorkerLost},
-	{wiretest.WorkerSilent, wiretest.WorkerMute},
+	{wiretest.WorkerSilent, wiretest.WorkerNoAnswer},
 	{wiretest.WorkerLate},
-	{wiretest.WorkerLate, wiretest.WorkerUnwell},
+	{wiretest.WorkerLate, wiretest.WorkerUnavailable},
 	{
-		wiretest.WorkerUnwell, wiretest.WorkerBusy, wiretest.WorkerFails, wiretest.WorkerFailsAfter, wiretest.WorkerDrop,
-		wiretest.WorkerLost, wiretest.WorkerSilent, wiretest.WorkerMute, wiretest.WorkerLate,
+		wiretest.WorkerUnavailable, wiretest.WorkerBusy, wiretest.WorkerFails, wiretest.WorkerFailsAfter, wiretest.WorkerDrop,
+		wiretest.WorkerLost, wiretest.WorkerSilent, wiretest.WorkerNoAnswer, wiretest.WorkerLate,
 	},
 }
 
@@ -219,13 +219,13 @@
 func (w *world) workerFault(seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 0))
 	i := rng.IntN(len(w.workers))
-	worker, path, name := w.workers[i], w.paths[i], w.workers[i].ID
+	worker, path, name := w.workers[i], w.workerProxies[i], w.workers[i].ID
 	kind, length := rng.IntN(20), between(rng, 300*time.Millisecond, 5*time.Second)
 	drains := rng.IntN(drainEvery) == 0
-	if !w.wards[i].TryLock() {
+	if !w.workerLocks[i].TryLock() {
 		return
 	}
-	defer w.wards[i].Unlock()
+	defer w.workerLocks[i].Unlock()
 	switch {
 	case drains:
 		w.logFault(name, "drains", length)
@@ -233,25 +233,25 @@
 		time.Sleep(length)
 		worker.Crash(fmt.Sprintf("%s-%x", worker.ID, seed>>32), length/4)
 	case kind < 6:
-		m := []mode{delaying, silent, deafOne, resetting, losing, slow}[kind]
+		m := []mode{delaying, silent, requestsOnly, resetting, losing, slow}[kind]
 		w.logFault(name, fmt.Sprint("path ", m), length)
-		path.set(m)
+		path.setMode(m)
 		time.Sleep(length)
-		path.set(passing)
+		path.setMode(passing)
 	case kind < 15:
-		w.unwell(rng, worker, length)
+		w.callFaults(rng, worker, length)
 	case kind < 17:
 		w.logFault(name, "crash", length/4)
 		if kind == 16 {
-			path.set(silent) // while it is down, connections are not refused either
+			path.setMode(silent) // while it is down, connections are not refused either
 		}
 		worker.Crash(fmt.Sprintf("%s-%x", worker.ID, seed>>32), length/4)
-		path.set(passing)
+		path.setMode(passing)
 	case kind < 19:
 		w.logFault(name, "smaller capacity", 2*length)
-		worker.Resize(smallRoom, roomNotice)
+		worker.Resize(smallCPU, capacityNotice)
 		time.Sleep(2 * length)
-		worker.Resize(largeRoom, roomNotice)
+		worker.Resize(largeCPU, capacityNotice)
 	default:
 		w.logFault(name, "unlisted", length)
 		worker.Unlist()
@@ -263,18 +263,18 @@
 // CPU capacities of workers that shrink and grow, in thousandths of a core, and the time that
 // users give entries to learn of a change: the contact timeout of 3 s and a heartbeat of 1 s.
 const (
-	smallRoom, largeRoom = 2000, 9000
-	roomNotice           = 4 * time.Second
+	smallCPU, largeCPU = 2000, 9000
+	capacityNotice     = 4 * time.Second
 )
 
 // callFaults makes a share of a worker's calls, or of the starts alone, fail.
-func (w *world) unwell(rng *rand.Rand, worker *wiretest.Worker, length time.Duration) {
-	kinds := unwell[rng.IntN(len(unwell))]
+func (w *world) callFaults(rng *rand.Rand, worker *wiretest.Worker, length time.Duration) {
+	kinds := callFaultMixes[rng.IntN(len(callFaultMixes))]
 	share, startsOnly := min(0.2+rng.Float64(), 1), rng.IntN(2) == 0
 	w.logFault(worker.ID, fmt.Sprintf("call faults %v share %.2f starts only %v", kinds, share, startsOnly), length)
 	worker.SetFault(func(path string) wiretest.WorkerFault { // called under the worker's lock
 		if startsOnly && path != "/run-start" || rng.Float64() >= share {
-			return wiretest.WorkerSound
+			return wiretest.WorkerNoFault
 		}
 		return kinds[rng.IntN(len(kinds))]
 	})
@@ -283,15 +283,15 @@
 }
 
 // endFaults ends all faults.
-func (w *world) calm() {
-	w.calmSince = time.Now()
-	w.calmed.Store(true)
+func (w *world) endFaults() {
+	w.faultsEnded = time.Now()
+	w.faultsOver.Store(true)
 	w.store.SetFault(nil)
 	for _, p := range w.procs {
-		p.proxy.set(passing)
+		p.proxy.setMode(passing)
 	}
 	for i, worker := range w.workers {
-		w.paths[i].set(passing)
+		w.workerProxies[i].setMode(passing)
 		worker.SetFault(nil)
 	}
 }
--- a/soak/jobs_test.go
+++ b/soak/jobs_test.go
@@ -13,12 +13,12 @@
 
 // Kinds of jobs.
 const (
-	plain    kind = iota // four tasks and then two larger ones; no checkpoints
-	fills                // fill tasks: they use only processor time that others leave, and give way to urgent jobs
-	urgent               // needs much memory
-	ganged               // its tasks form a gang: they run together or not at all
-	repeated             // due several times in overlapping periods, with a gang
-	lasting              // runs until it is cancelled
+	plain       kind = iota // four tasks and then two larger ones; no checkpoints
+	fill                    // fill tasks: they use only processor time that others leave, and give way to urgent jobs
+	urgent                  // needs much memory
+	ganged                  // its tasks form a gang: they run together or not at all
+	repeated                // due several times in overlapping periods, with a gang
+	longRunning             // runs until it is cancelled
 	kinds
 )
 
@@ -30,8 +30,8 @@
 	After       []int  `json:"after_revision,omitempty"`
 	Checkpoints bool   `json:"checkpointing,omitempty"`
 	Gang        bool   `json:"gang,omitempty"`
-	Fills       bool   `json:"fills,omitempty"`
-	Lasting     bool   `json:"long_running,omitempty"`
+	Fill        bool   `json:"fills,omitempty"`
+	LongRunning bool   `json:"long_running,omitempty"`
 	Image       string `json:"image,omitempty"`
 	TargetMS    int    `json:"target_ms,omitempty"`
 
@@ -55,14 +55,14 @@
 		{Count: firstTasks, CPU: 500, MemoryMB: 100, length: 1},
 		{Count: 2, CPU: 1000, MemoryMB: 100, After: []int{0}, length: 1},
 	}},
-	fills:  {"b", 10, []step{{Count: 5, CPU: 2000, MemoryMB: 900, Fills: true, Image: "fill", Checkpoints: true, length: 2}}},
+	fill:   {"b", 10, []step{{Count: 5, CPU: 2000, MemoryMB: 900, Fill: true, Image: "fill", Checkpoints: true, length: 2}}},
 	urgent: {"a", 7, []step{{Count: 4, CPU: 400, MemoryMB: 2500, length: 1}}},
 	ganged: {"c", 6, []step{{Count: 3, CPU: 400, MemoryMB: 200, Gang: true, Checkpoints: true, length: 1}}},
 	repeated: {"c", 4, []step{
 		{Count: 2, CPU: 300, MemoryMB: 100, Checkpoints: true, length: 1},
 		{Count: 2, CPU: 300, MemoryMB: 100, Gang: true, Checkpoints: true, length: 1},
 	}},
-	lasting: {"c", 3, []step{{Count: 2, CPU: 300, MemoryMB: 200, Lasting: true, Image: "serve", TargetMS: targetMS, Checkpoints: true, length: 3}}},
+	longRunning: {"c", 3, []step{{Count: 2, CPU: 300, MemoryMB: 200, LongRunning: true, Image: "serve", TargetMS: targetMS, Checkpoints: true, length: 3}}},
 }
 
 // Due times of repeated jobs.
@@ -122,12 +122,12 @@
 	return &catalogue[kindOf(fields[0])].steps[at]
 }
 
-func isSecond(task string) bool { return len(stepOf(task).After) > 0 }
+func isSecondStep(task string) bool { return len(stepOf(task).After) > 0 }
 
 // needsOf returns what a task takes of a worker's capacity; a fill task takes no reserved CPU.
 func needsOf(task string) (cpu, memory int) {
 	s := stepOf(task)
-	if s.Fills {
+	if s.Fill {
 		return 0, s.MemoryMB
 	}
 	return s.CPU, s.MemoryMB
@@ -135,7 +135,7 @@
 
 func checkpoints(task string) bool { return stepOf(task).Checkpoints }
 
-func lasts(task string) bool { return stepOf(task).Lasting }
+func isLongRunning(task string) bool { return stepOf(task).LongRunning }
 
 func gangSize(task string) int {
 	if s := stepOf(task); s.Gang {
@@ -153,11 +153,11 @@
 
 func readingOf(task string) float64 {
 	switch s := stepOf(task); {
-	case s.Lasting && time.Duration(time.Now().UnixNano())%tailPeriod < tailOver:
+	case s.LongRunning && time.Duration(time.Now().UnixNano())%tailPeriod < tailOver:
 		return highTail
-	case s.Lasting:
+	case s.LongRunning:
 		return lowTail
-	case s.Fills:
+	case s.Fill:
 		return fillCPU
 	default:
 		return float64(s.CPU)
--- a/soak/process_test.go
+++ b/soak/process_test.go
@@ -111,7 +111,7 @@
 func (w *world) startOnce(p *process) {
 	p.cmd = exec.Command(w.binary, "node", "--metrics-port", "0", "--log-level", "debug")
 	p.cmd.Env = append(os.Environ(), "LEVERSTILE_BOOT="+filepath.Join(p.dir, "node.toml"), "LEVERSTILE_TEST_SUSPENDED="+p.suspendedFile(),
-		"GORACE=log_path="+filepath.Join(p.dir, racesName))
+		"GORACE=log_path="+filepath.Join(p.dir, raceReportPrefix))
 	p.cmd.Stdout, p.cmd.Stderr = w.log, w.log
 	if err := p.cmd.Start(); err != nil {
 		w.t.Errorf("%s: %v", p.name, err)
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -12,13 +12,13 @@
 type mode int
 
 const (
-	passing   mode = iota
-	delaying       // each chunk is delayed
-	silent         // nothing is forwarded, in either direction
-	deafOne        // requests are forwarded, answers are not
-	resetting      // connections are reset, new ones too
-	losing         // a share of the connections is reset before an answer is forwarded
-	slow           // each chunk is delayed so long that calls time out
+	passing      mode = iota
+	delaying          // each chunk is delayed
+	silent            // nothing is forwarded, in either direction
+	requestsOnly      // requests are forwarded, answers are not
+	resetting         // connections are reset, new ones too
+	losing            // a share of the connections is reset before an answer is forwarded
+	slow              // each chunk is delayed so long that calls time out
 )
 
 func (m mode) String() string {
@@ -50,7 +50,7 @@
 
 func (p *proxy) address() string { return p.listener.Addr().String() }
 
-func (p *proxy) set(m mode) {
+func (p *proxy) setMode(m mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mode = m
@@ -61,7 +61,7 @@
 	}
 }
 
-func (p *proxy) now() mode {
+func (p *proxy) currentMode() mode {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mode
@@ -80,7 +80,7 @@
 		if err != nil {
 			return
 		}
-		if p.now() == resetting {
+		if p.currentMode() == resetting {
 			reset(c)
 			continue
 		}
@@ -116,13 +116,13 @@
 			}
 			return
 		}
-		if answers && p.now() == losing && rand.Float64() < lossShare {
+		if answers && p.currentMode() == losing && rand.Float64() < lossShare {
 			reset(to)
 			return
 		}
 		for {
-			m := p.now()
-			if m == silent || m == deafOne && answers {
+			m := p.currentMode()
+			if m == silent || m == requestsOnly && answers {
 				time.Sleep(20 * time.Millisecond)
 				continue
 			}
--- a/soak/races_test.go
+++ b/soak/races_test.go
@@ -7,12 +7,12 @@
 )
 
 // raceReportPrefix is how the names of the files start to which processes write data races.
-const racesName = "races"
+const raceReportPrefix = "races"
 
 // checkRaces fails the test if a process has reported a data race.
 func (w *world) checkRaces() {
 	for _, p := range w.procs {
-		files, err := filepath.Glob(filepath.Join(p.dir, racesName+".*"))
+		files, err := filepath.Glob(filepath.Join(p.dir, raceReportPrefix+".*"))
 		if err != nil {
 			w.t.Error(err)
 		}
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -47,7 +47,7 @@
 }
 
 // settleTimeout bounds the wait for the end of all jobs once the faults are over.
-const settle = 90 * time.Second
+const settleTimeout = 90 * time.Second
 
 const config = `{"version":%d,"routes":[
 {"name":"q","host":"h.example","path_prefix":"/a/","timeout_ms":3000,"target_latency_ms":4000,"priority":0,"service":"svc","max_attempts":1000,"stretch":6},
@@ -57,43 +57,43 @@
 
 // Sizes of a seed's cell.
 const (
-	leastEntries, mostEntries = 6, 9
-	leastWorkers, mostWorkers = 8, 12
+	minEntries, maxEntries = 6, 9
+	minWorkers, maxWorkers = 8, 12
 	// minWork and maxWork bound how long a task works.
-	leastWork, mostWork = 200 * time.Millisecond, 2 * time.Second
-	longestStop         = 800 * time.Millisecond
+	minWork, maxWork = 200 * time.Millisecond, 2 * time.Second
+	maxStopTime      = 800 * time.Millisecond
 	// maxDowntime bounds how long a worker is unavailable after a task has crashed it.
-	longestAway = 2 * time.Second
+	maxDowntime = 2 * time.Second
 	// crashEvery is the number of jobs for each one with a task that crashes its workers.
 	crashEvery = 40
 	slowClock  = 0.98
 	// lateShare is the share of the answers of some workers that are delayed, so that
 	// later ones overtake them, for a time between the two bounds.
-	lateShare              = 0.1
-	leastLate, longestLate = 10 * time.Millisecond, 800 * time.Millisecond
-	restore                = 100 * time.Millisecond
+	lateShare                      = 0.1
+	minAnswerDelay, maxAnswerDelay = 10 * time.Millisecond, 800 * time.Millisecond
+	restore                        = 100 * time.Millisecond
 )
 
 // world is the run of one seed: a store, workers, entries and customers. Its lock guards the
 // maps; workerLocks and workerProxies are indexed as workers: a fault of a worker holds its
 // lock.
 type world struct {
-	t       *testing.T
-	seed    uint64
-	binary  string
-	store   *wiretest.Store
-	workers []*wiretest.Worker
-	paths   []*proxy
-	wards   []sync.Mutex
-	procs   []*process
-	log     *os.File
+	t             *testing.T
+	seed          uint64
+	binary        string
+	store         *wiretest.Store
+	workers       []*wiretest.Worker
+	workerProxies []*proxy
+	workerLocks   []sync.Mutex
+	procs         []*process
+	log           *os.File
 	// maxLease is the longest lease at a worker.
 	maxLease time.Duration
 
 	violations int
 	// faultsEnded is when the last fault was over.
-	calmSince time.Time
-	calmed    atomic.Bool
+	faultsEnded time.Time
+	faultsOver  atomic.Bool
 
 	mu       sync.Mutex
 	accepted map[string]bool
@@ -135,17 +135,17 @@
 	w.log = log
 	rng := w.rng(0)
 	w.maxLease = []time.Duration{6 * time.Second, 10 * time.Second}[rng.IntN(2)]
-	w.wards = make([]sync.Mutex, sizeOr(leastWorkers+rng.IntN(mostWorkers-leastWorkers+1), *soakWorkers))
-	for i := range w.wards {
+	w.workerLocks = make([]sync.Mutex, sizeOr(minWorkers+rng.IntN(maxWorkers-minWorkers+1), *soakWorkers))
+	for i := range w.workerLocks {
 		w.addWorker(i, rng)
 	}
 	defer w.close()
-	for i := range sizeOr(leastEntries+rng.IntN(mostEntries-leastEntries+1), *soakEntries) {
+	for i := range sizeOr(minEntries+rng.IntN(maxEntries-minEntries+1), *soakEntries) {
 		w.procs = append(w.procs, w.newProcess(i))
 	}
 	w.awaitServing()
 	w.faults()
-	w.calm()
+	w.endFaults()
 	w.awaitJobs()
 	w.endEntries() // the records of all workers are read while no new runs start
 	w.check()
@@ -176,12 +176,12 @@
 		SameID: w.sameID(), ClockStart: func(incarnation int) int64 { return clockOf(clocks, incarnation) }, TimeOfDay: func() int64 { return timeOfDay(clocks) },
 		ID: fmt.Sprintf("i-%d", i), Service: "svc", Zone: fmt.Sprintf("z%d", i%3),
 		CPU: 5000 + 1000*rng.IntN(9), MemoryMB: 8000, Needs: needsOf, Work: w.workOf, MaxLease: w.maxLease,
-		StopTime: func() time.Duration { return rand.N(longestStop) }, ClockRate: rate, ClockLag: *soakLag, StartGap: *soakGap,
-		Unguarded: w.unguarded(), Crashes: w.crashes, Away: func() time.Duration { return rand.N(longestAway) },
-		Checkpoints: checkpoints, Restore: restore, GangSize: gangSize, Lasting: lasts, Progress: true, Reading: readingOf,
+		StopTime: func() time.Duration { return rand.N(maxStopTime) }, ClockRate: rate, ClockLag: *soakLag, StartGap: *soakGap,
+		Unguarded: w.unguarded(), Crashes: w.crashes, Downtime: func() time.Duration { return rand.N(maxDowntime) },
+		Checkpoints: checkpoints, Restore: restore, GangSize: gangSize, LongRunning: isLongRunning, Progress: true, Reading: readingOf,
 		Delay: w.delayOf(i), Wrap: w.wrapWorker,
 	})
-	failing := i < mostWorkers // in a large cell the same tasks would fail hundreds of times
+	failing := i < maxWorkers // in a large cell the same tasks would fail hundreds of times
 	worker.FailIf(func(task string, start int) bool { return failing && start == 1 && strings.HasSuffix(task, "3") })
 	w.workers = append(w.workers, worker)
 }
@@ -192,9 +192,9 @@
 	clockStream = 1000
 	// maxClockStart is the maximum that the clock of an incarnation shows at its start, in
 	// milliseconds.
-	mostAhead = 500_000
+	maxClockStart = 500_000
 	// maxJumpBack is the maximum by which the time of day is behind the true time.
-	mostJumpBack = time.Hour
+	maxJumpBack = time.Hour
 )
 
 // sameID reports whether the workers of this seed restart under the ids that they had.
@@ -206,14 +206,14 @@
 	if incarnation > 1 && rng.IntN(2) == 0 {
 		return 1
 	}
-	return 1 + rng.Int64N(mostAhead)
+	return 1 + rng.Int64N(maxClockStart)
 }
 
 // timeOfDay returns a worker's time of day in Unix milliseconds, which sometimes jumps back.
 func timeOfDay(rng *rand.Rand) int64 {
 	now := time.Now()
 	if rng.IntN(4) == 0 {
-		now = now.Add(-time.Duration(rng.Int64N(int64(mostJumpBack))))
+		now = now.Add(-time.Duration(rng.Int64N(int64(maxJumpBack))))
 	}
 	return now.UnixMilli()
 }
@@ -225,10 +225,10 @@
 		return nil
 	}
 	return func(path string) time.Duration {
-		if w.calmed.Load() || rand.Float64() >= lateShare || path != "/hold" && path != "/run-start" {
+		if w.faultsOver.Load() || rand.Float64() >= lateShare || path != "/hold" && path != "/run-start" {
 			return 0
 		}
-		return leastLate + rand.N(longestLate-leastLate)
+		return minAnswerDelay + rand.N(maxAnswerDelay-minAnswerDelay)
 	}
 }
 
@@ -255,7 +255,7 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.paths = append(w.paths, p)
+	w.workerProxies = append(w.workerProxies, p)
 	return p.address()
 }
 
@@ -263,7 +263,7 @@
 func (w *world) workOf(task string) time.Duration {
 	h := fnv.New32a()
 	_, _ = fmt.Fprint(h, w.seed, task)
-	return stepOf(task).length * (leastWork + time.Duration(h.Sum32())%(mostWork-leastWork))
+	return stepOf(task).length * (minWork + time.Duration(h.Sum32())%(maxWork-minWork))
 }
 
 func (w *world) endEntries() {
@@ -279,7 +279,7 @@
 		_ = p.proxy.listener.Close()
 	}
 	for i, worker := range w.workers {
-		_ = w.paths[i].listener.Close()
+		_ = w.workerProxies[i].listener.Close()
 		worker.Server.CloseClientConnections()
 		worker.Server.Close()
 	}
