--- a/node/admit.go
+++ b/node/admit.go
@@ -12,19 +12,19 @@
 	"leverstile.dev/kv"
 )
 
-// Figures of admission.
+// Limits of admission.
 const (
-	// admitTimeout bounds the question to the owner. A job whose answer is late
-	// is recorded: nothing is lost by that but the early refusal.
+	// admitTimeout bounds the call to the owner. A job whose answer is late is
+	// recorded: only the early refusal is lost.
 	admitTimeout = 150 * time.Millisecond
-	// crowdedFor is how long an entry asks for short jobs after the owner said
-	// that some wait. It then hears anew with each job that it records.
+	// crowdedFor is how long an entry asks for the admission of short jobs after the owner
+	// reported that some wait. The owner's answer to each recorded job renews that.
 	crowdedFor = 3 * time.Second
 )
 
-// admit asks the owner whether a job will find room, before it is recorded. A
-// job that the store holds already, or may hold, is never refused: the customer
-// would take it for one that will not run.
+// admit asks the owner whether a job will find capacity, before it is recorded. A job
+// that the store holds, or may hold, is never refused: the customer would take the
+// refusal to mean that the job will not run.
 func (n *Node) admit(ctx context.Context, spec *job.Spec, record []byte) (Submission, bool) {
 	if !n.mustAsk(spec) {
 		return Submission{}, false
@@ -42,8 +42,8 @@
 	return Submission{Recorded: RecordedNoRoom, RetryAfter: a.RetryAfter}, true
 }
 
-// mustAsk reports whether a job needs the owner's word. Lasting ones are few and
-// hold their room for long; of others only those that come while some wait.
+// needsAdmission reports whether a job needs the owner's admission. Long-running jobs do:
+// they are few and occupy their capacity for long. Short jobs do only while some wait.
 func (n *Node) mustAsk(spec *job.Spec) bool {
 	if n.current.Load() != nil {
 		return true // it costs no call
@@ -51,7 +51,7 @@
 	return spec.Lasting() || int64(n.clock()) < n.crowdedUntil.Load()
 }
 
-// noteCrowded takes in whether short jobs wait at the owner.
+// recordCrowded records whether short jobs wait at the owner.
 func (n *Node) noteCrowded(crowded bool) {
 	if crowded {
 		n.crowdedUntil.Store(int64(n.clock() + crowdedFor))
--- a/node/complaints.go
+++ b/node/complaints.go
@@ -7,18 +7,18 @@
 	"leverstile.dev/dispatch"
 )
 
-// mostComplaints bounds what is remembered of keys that can't be read, and so
-// the lines on them: some KB, and a line each the first time.
+// maxReportedProblems bounds the keys with reported problems, and so the log lines on
+// them: some KB of memory, and one line each the first time.
 const mostComplaints = 256
 
-// complaints remembers what was said of keys that can't be read, so that each
-// change gets one line however often the key is read. Its lock guards said.
+// reportedProblems remembers the last problem that was logged of each key, so that each
+// change is logged once however often the key is read. Its lock guards reported.
 type complaints struct {
 	mu   sync.Mutex
 	said map[string]string
 }
 
-// fresh reports whether this was not said of the key last, and remembers it.
+// add records a key's problem; it reports whether the problem is new and to be logged.
 func (c *complaints) fresh(key, what string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -35,7 +35,7 @@
 	return true
 }
 
-// keep forgets the keys under which nothing is wrong any more.
+// retain forgets all keys except those that still have a problem.
 func (c *complaints) keep(wrong map[string]bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -46,8 +46,8 @@
 	}
 }
 
-// noteUnusable takes in the entries of workers that can't be used, as of the
-// newest list.
+// recordUnusable records the entries of workers that can't be used in the newest list,
+// and logs the new ones.
 func (n *Node) noteUnusable(list []dispatch.UnusableEntry) {
 	wrong := make(map[string]bool, len(list))
 	for _, e := range list {
--- a/node/config.go
+++ b/node/config.go
@@ -5,8 +5,8 @@
 	"leverstile.dev/kv"
 )
 
-// putConfig puts a version into force unless a newer one is. One that can't be
-// read changes nothing.
+// applyConfig puts a version of the configuration into force unless a newer one is. One
+// that can't be read changes nothing.
 func (n *Node) putConfig(p kv.Pair) {
 	c, err := n.opts.DecodeConfig(p.Value)
 	if err != nil {
--- a/node/evacuations.go
+++ b/node/evacuations.go
@@ -15,37 +15,37 @@
 	"leverstile.dev/kv"
 )
 
-// evacuation is what a store's revision says of a data centre.
+// evacuation is the state of a data centre as of a revision of the store.
 type evacuation struct {
 	dataCentre string
 	revision   int64
 	evacuated  bool
 }
 
-// evacuationList holds what is known of each data centre that was ever
+// evacuationList holds the newest state of each data centre that was ever
 // evacuated. Its lock guards known.
 //
-// Invariant: what a revision says of a data centre is never replaced by an
-// older one. Reads, watches and other entries tell of changes in any order.
+// Invariant: the state of a data centre is never replaced by one of an older
+// revision. Reads, watches and other entries report changes in any order.
 type evacuationList struct {
 	mu    sync.Mutex
 	known map[string]evacuation
 }
 
-// mostReturned bounds the data centres that are remembered as taken back, against
-// a writer that names things at random: some ten times as many as the largest
+// maxLifted bounds the data centres that are remembered after their evacuation was
+// lifted, in case a writer uses random names: some ten times as many as the largest
 // deployment has.
 const mostReturned = 340
 
-// note takes in news and returns those that were news indeed.
-func (l *evacuationList) note(news []evacuation) []evacuation {
+// update applies updates and returns those that changed whether a data centre is evacuated.
+func (l *evacuationList) note(updates []evacuation) []evacuation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.known == nil {
 		l.known = map[string]evacuation{}
 	}
 	var fresh []evacuation
-	for _, e := range news {
+	for _, e := range updates {
 		before, known := l.known[e.dataCentre]
 		if e.revision <= before.revision {
 			continue
@@ -61,7 +61,7 @@
 	return fresh
 }
 
-// evacuated returns the data centres that are evacuated, sorted.
+// evacuated returns the evacuated data centres, sorted.
 func (l *evacuationList) evacuated() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -75,8 +75,8 @@
 	return list
 }
 
-// takenBack returns what a whole read at a revision says of the data centres
-// that it does not name.
+// lifted returns the evacuations that are lifted according to a full read at a revision:
+// those of the data centres that it does not name.
 func (l *evacuationList) takenBack(named map[string]bool, revision int64) []evacuation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -89,7 +89,7 @@
 	return list
 }
 
-// evacuationsListed returns what a whole read of the operators' keys says.
+// evacuationsListed returns the updates of a full read of the operators' keys.
 func (n *Node) evacuationsListed(pairs []kv.Pair, revision int64) []evacuation {
 	var list []evacuation
 	named := map[string]bool{}
@@ -102,7 +102,7 @@
 	return append(list, n.evacuations.takenBack(named, revision)...)
 }
 
-// evacuationsOf returns what changes of the operators' keys say.
+// evacuationsOf returns the updates in changes of the operators' keys.
 func (n *Node) evacuationsOf(events []kv.Event) []evacuation {
 	var list []evacuation
 	for _, ev := range events {
@@ -113,8 +113,8 @@
 	return list
 }
 
-// evacuatedBy returns the data centre that a key evacuates while it is there,
-// whatever its value: one that can't be read evacuates all the same.
+// evacuatedBy returns the data centre that a key evacuates while the key exists,
+// whatever its value: a value that can't be read evacuates too.
 func (n *Node) evacuatedBy(key string) (dataCentre string, ok bool) {
 	if n.opts.EvacuationPrefix == "" {
 		return "", false
@@ -123,10 +123,10 @@
 	return dc, ok && dc != ""
 }
 
-// noteEvacuations takes in what was read or heard of evacuations, and hands what
-// is new to the core, or to the owner.
-func (n *Node) noteEvacuations(news []evacuation) {
-	fresh := n.evacuations.note(news)
+// updateEvacuations applies updates that were read or received, and passes the changes
+// to the core, or to the owner.
+func (n *Node) noteEvacuations(updates []evacuation) {
+	fresh := n.evacuations.note(updates)
 	if len(fresh) == 0 {
 		return
 	}
@@ -141,16 +141,16 @@
 	n.relayEvacuations(fresh)
 }
 
-// takeEvacuations hands the evacuations that are known to the core.
+// applyEvacuations passes the evacuated data centres to the core.
 func (o *owner) takeEvacuations(core *dispatch.Core, _ dispatch.Instant) {
 	core.SetEvacuated(o.node.evacuations.evacuated())
 }
 
-// relayEvacuations tells the owner what this entry has just seen. The store may
-// turn away the owner alone, for seconds, while it takes the operators' writes.
-func (n *Node) relayEvacuations(news []evacuation) {
+// relayEvacuations reports changes that this entry has seen to the owner. The store may
+// refuse the owner alone, for seconds, while it accepts the operators' writes.
+func (n *Node) relayEvacuations(updates []evacuation) {
 	req := &jobsv1.NoteEvacuationsRequest{}
-	for _, e := range news {
+	for _, e := range updates {
 		req.Evacuations = append(req.Evacuations, &jobsv1.Evacuation{DataCentre: e.dataCentre, Revision: e.revision, Evacuated: e.evacuated})
 	}
 	n.tellOwner("evacuations", func(ctx context.Context, client jobsv1connect.OwnerClient) error {
@@ -161,17 +161,17 @@
 
 // NoteEvacuations implements jobsv1connect.OwnerHandler.
 func (p *peerServer) NoteEvacuations(_ context.Context, req *connect.Request[jobsv1.NoteEvacuationsRequest]) (*connect.Response[jobsv1.NoteEvacuationsResponse], error) {
-	var news []evacuation
+	var updates []evacuation
 	for _, e := range req.Msg.GetEvacuations() {
-		news = append(news, evacuation{e.GetDataCentre(), e.GetRevision(), e.GetEvacuated()})
+		updates = append(updates, evacuation{e.GetDataCentre(), e.GetRevision(), e.GetEvacuated()})
 	}
-	p.node.takeRelayed(news)
+	p.node.takeRelayed(updates)
 	return connect.NewResponse(&jobsv1.NoteEvacuationsResponse{}), nil
 }
 
-// takeRelayed takes in what another entry has seen. It is not relayed further.
-func (n *Node) takeRelayed(news []evacuation) {
+// applyRelayedEvacuations applies updates of another entry. They are not relayed further.
+func (n *Node) takeRelayed(updates []evacuation) {
 	if n.current.Load() != nil {
-		n.noteEvacuations(news)
+		n.noteEvacuations(updates)
 	}
 }
--- a/node/explain.go
+++ b/node/explain.go
@@ -2,7 +2,7 @@
 
 import "encoding/json"
 
-// explain tells where a job's tasks run and why others wait.
+// explain returns, as JSON, where a job's tasks run and why others wait.
 func (o *owner) explain(id string) (string, error) {
 	o.mu.Lock()
 	text, err := json.Marshal(o.core.Explain(id, o.now()))
--- a/node/feed.go
+++ b/node/feed.go
@@ -10,18 +10,17 @@
 	"leverstile.dev/kv"
 )
 
-// Figures of what the owner follows.
+// Limits of reads of the list of workers.
 const (
-	// listPause is the least pause between reads of the list of workers.
+	// listPause is the shortest pause between reads of the list of workers.
 	listPause = 700 * time.Millisecond
-	// listEntryBytes is what a worker's entry in an answer of the store may take
-	// (437 bytes were measured), listLinkShare the part of the link that reads of
-	// the list may take: 214 KB each 0.7 s, for 490 workers, are a fourth of a
-	// link of 10 Mbit/s.
+	// listEntryBytes is the largest size of a worker's entry in an answer of the store
+	// (typically 437 bytes); listLinkShare is the part of the link that reads of the list
+	// may use: 214 KB each 0.7 s, for 490 workers, are a fourth of a link of 10 Mbit/s.
 	listEntryBytes = 600
 	listLinkShare  = 0.15
-	// listDrainShare of the time within which a worker that drains must get no
-	// new work is the longest pause: a read and what is under way come on top.
+	// listDrainShare bounds the pause, as a part of the time within which a draining worker
+	// must get no new work: a read and the orders under way take the rest.
 	listDrainShare = 0.45
 )
 
@@ -38,7 +37,7 @@
 	return pause
 }
 
-// intakeLoop takes in jobs and cancellations as entries record them.
+// intakeLoop processes jobs and cancellations as entries record them.
 func (o *owner) intakeLoop(rev int64) {
 	wait := backoff{least: loadRetryMin, most: loadRetryMax}
 	for o.ctx.Err() == nil {
@@ -72,13 +71,14 @@
 	}
 }
 
-// intakeTaken tells the core up to which revision it has heard of all jobs.
+// recordIntakeRevision tells the core up to which revision it has received all jobs.
 func (o *owner) intakeTaken(rev int64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.core.IntakeProcessed(rev)
 }
 
+// processIntake adds recorded jobs to the core, then applies cancellations.
 func (o *owner) takeIn(events []kv.Event) {
 	if len(events) == 0 {
 		return
@@ -106,7 +106,7 @@
 	signal(o.wake)
 }
 
-// listLoop reads the list of workers, and keeps one poller a worker.
+// listLoop reads the list of workers, and keeps one poller for each worker.
 func (o *owner) listLoop() {
 	o.syncPollers()
 	known := 0
--- a/node/hint.go
+++ b/node/hint.go
@@ -13,19 +13,19 @@
 	"leverstile.dev/kv"
 )
 
-// Figures of hints.
+// Limits of hints: calls by which an entry reports a new record to the owner.
 const (
-	// hintAge is how old a job may be for a hint of it to count: far less than
-	// records are kept, so that no job is taken for new that has long ended. The
-	// clocks of two VMs may be some seconds apart.
+	// hintMaxAge is how old a job may be for its hint to count: far less than the time for
+	// which records are kept, so that no job that ended long ago is taken for a new one.
+	// The clocks of two VMs may be some seconds apart.
 	hintAge = 20 * time.Second
-	// mostHints bounds the hints under way; more are not sent.
+	// maxHints bounds the hints under way; further ones are dropped.
 	mostHints = 64
 )
 
-// hintOwner tells the owner what this entry has just recorded. The owner's watch
-// tells it too, but can be silent for seconds while the store serves others. A
-// hint that gets lost costs nothing else.
+// hintOwner reports a new record of this entry to the owner. The owner's watch reports
+// it too, but can be silent for seconds while the store serves others. A hint that is
+// lost costs nothing else.
 func (n *Node) hintOwner(id string, record []byte) {
 	if o := n.current.Load(); o != nil {
 		o.takeHint(id, record)
@@ -40,8 +40,8 @@
 	})
 }
 
-// tellOwner makes a call to the owner beside the caller's own work, if one is
-// known and few are under way.
+// notifyOwner calls the owner in the background, if an owner is known and fewer than
+// maxHints calls are under way.
 func (n *Node) tellOwner(what string, call func(context.Context, jobsv1connect.OwnerClient) error) {
 	client := n.ownerClient()
 	if client == nil {
@@ -74,7 +74,7 @@
 	return connect.NewResponse(&jobsv1.NoteIntakeResponse{Crowded: o.crowded()}), nil
 }
 
-// takeHint takes in a job, or a cancellation if there is no record.
+// processHint processes a job, or a cancellation if there is no record.
 func (o *owner) takeHint(id string, record []byte) {
 	if len(record) == 0 {
 		o.takeIn([]kv.Event{{Pair: kv.Pair{Key: cancelPrefix + id}}})
--- a/node/intake.go
+++ b/node/intake.go
@@ -13,30 +13,30 @@
 	"leverstile.dev/kv"
 )
 
-// Recorded is what became of a write that a customer asked for.
+// Recorded is the result of a write that a customer asked for.
 type Recorded uint8
 
-// Fates of a write.
+// Results of a write.
 const (
-	// RecordedYes: the store holds it.
+	// RecordedYes: the store holds the record.
 	RecordedYes Recorded = iota
-	// RecordedNo: nothing was sent, or it was refused; it will never take effect.
+	// RecordedNo: nothing was sent, or the write was refused; it will never take effect.
 	RecordedNo
-	// RecordedUnknown: it may have taken effect, or still may.
+	// RecordedUnknown: the write may have taken effect, or may still do so.
 	RecordedUnknown
 	// RecordedNotFound: there is no such job.
 	RecordedNotFound
-	// RecordedNoRoom: the owner expects no room for the job in time; nothing was
+	// RecordedNoCapacity: the owner expects no capacity for the job in time; nothing was
 	// sent to the store.
 	RecordedNoRoom
 )
 
-// Figures of customers' writes.
+// Limits of customers' writes.
 const (
-	// writeTry bounds one try, writeBudget all of them: a customer waits 3 s.
+	// writeTryTimeout bounds one try, writeBudget all of them: a customer waits 3 s.
 	writeTry    = 600 * time.Millisecond
 	writeBudget = 2200 * time.Millisecond
-	// refusedBudget bounds the tries of a write that was only refused.
+	// refusedBudget bounds the tries of a write that was refused each time.
 	refusedBudget = 500 * time.Millisecond
 	writeRetryMin = 20 * time.Millisecond
 	writeRetryMax = 200 * time.Millisecond
@@ -45,16 +45,15 @@
 // Config returns the configuration in force, nil before the first.
 func (n *Node) Config() *job.Config { return n.config.Load() }
 
-// Submission is what became of a job that was handed in.
+// Submission is the result of a submitted job.
 type Submission struct {
 	Recorded Recorded
-	// RetryAfter is when to come back with a job that was not recorded, 0 if
-	// nothing is known of that.
+	// RetryAfter is when to submit again a job that was not recorded, 0 if
+	// that is unknown.
 	RetryAfter time.Duration
 }
 
-// Submit records a job, with the time of its acceptance. Submitting it again is
-// safe.
+// Submit records a job with its acceptance time. It is idempotent.
 func (n *Node) Submit(ctx context.Context, spec *job.Spec) Submission {
 	began := n.clock()
 	spec.AcceptedMS = n.instant().UnixMS
@@ -84,7 +83,7 @@
 	return n.createJob(ctx, id, value)
 }
 
-// createJob writes a job to the store and tells the owner.
+// createJob writes a job to the store and sends the owner a hint of it.
 func (n *Node) createJob(ctx context.Context, id string, value []byte) Recorded {
 	recorded, fresh := n.create(ctx, jobPrefix+id, value)
 	if fresh {
@@ -93,17 +92,17 @@
 	return recorded
 }
 
-// String returns the name of the fate, as logged.
+// String returns the name of the result, as logged.
 func (r Recorded) String() string {
 	return [...]string{"yes", "no", "unknown", "not_found", "no_room"}[r]
 }
 
-// create writes a key if it isn't there. One that is there counts as written:
-// the same customer wrote it before. Fresh is true if this call wrote it.
+// create writes a key if it does not exist. A key that exists counts as written: the
+// same customer wrote it before. Fresh is true if this call wrote it.
 func (n *Node) create(ctx context.Context, key string, value []byte) (recorded Recorded, fresh bool) {
 	began := n.clock()
 	wait := backoff{least: writeRetryMin, most: writeRetryMax}
-	maybe := false
+	maybeDone := false
 	for {
 		tctx, cancel := context.WithTimeout(ctx, min(writeTry, writeBudget-(n.clock()-began)))
 		res, err := n.store.Do(tctx, kv.Txn{
@@ -115,13 +114,13 @@
 			return RecordedYes, res.Succeeded
 		}
 		if !errors.Is(err, kv.ErrNotDone) {
-			maybe = true
+			maybeDone = true
 		}
 		spent := n.clock() - began
-		tired := spent > refusedBudget && !maybe || spent+writeRetryMax > writeBudget || n.store.Down()
-		if tired || !sleep(ctx, wait.next()) {
-			n.log.Warn().Str("event", "write_given_up").Str("key", key).Bool("maybe_done", maybe).Err(err).Dur("took", spent).Msg("")
-			if maybe {
+		giveUp := spent > refusedBudget && !maybeDone || spent+writeRetryMax > writeBudget || n.store.Down()
+		if giveUp || !sleep(ctx, wait.next()) {
+			n.log.Warn().Str("event", "write_given_up").Str("key", key).Bool("maybe_done", maybeDone).Err(err).Dur("took", spent).Msg("")
+			if maybeDone {
 				return RecordedUnknown, false
 			}
 			return RecordedNo, false
@@ -129,7 +128,7 @@
 	}
 }
 
-// Cancel records that a customer no longer wants a job.
+// Cancel records a customer's request to cancel a job.
 func (n *Node) Cancel(ctx context.Context, id string) Recorded {
 	result := n.cancelRecord(ctx, id)
 	n.log.Info().Str("event", "job_cancel_asked").Str("job", id).Str("recorded", result.String()).Msg("")
@@ -147,8 +146,8 @@
 	if err != nil {
 		return RecordedNo
 	}
-	// Also of a job that is not known: its hand-in may be under way at the store, and ran
-	// after its customer had heard that there is no such job.
+	// The cancellation is also recorded for an unknown job: its submission may still be under
+	// way at the store, and the job would run after its customer was told that it does not exist.
 	recorded, fresh := n.create(ctx, cancelPrefix+id, []byte("1"))
 	if fresh {
 		n.hintOwner(id, nil)
@@ -159,8 +158,8 @@
 	return recorded
 }
 
-// State returns a job's state. The owner knows it; without an owner the store
-// tells. An error means that neither answered.
+// State returns a job's state from the owner, or from the store if no owner
+// answers. An error means that neither answered.
 func (n *Node) State(ctx context.Context, id string) (job.Status, bool, error) {
 	if state, ok := n.ownerState(ctx, id); ok {
 		return state, true, nil
@@ -184,7 +183,7 @@
 	return job.Status{State: job.Queued}, true, nil
 }
 
-// stateOf answers for a job that this node owns.
+// stateOf returns the state of a job while this node owns the cell.
 func (o *owner) stateOf(id string) (job.Status, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -197,10 +196,10 @@
 	return o.core.Pending(queue)
 }
 
-// pendingAge is how old a count of pending jobs may be; customers allow 2 s.
+// pendingMaxAge is how old a count of pending jobs may be; customers allow 2 s.
 const pendingAge = 300 * time.Millisecond
 
-// pendingCache keeps counts for a moment. Its lock guards counts.
+// pendingCache caches counts of pending jobs for pendingMaxAge. Its lock guards counts.
 type pendingCache struct {
 	mu     sync.Mutex
 	counts map[string]pendingCount
@@ -211,7 +210,7 @@
 	at time.Duration
 }
 
-// Pending returns how many jobs of a queue have not begun, and false if no
+// Pending returns how many jobs of a queue have not started, and false if no
 // owner answers.
 func (n *Node) Pending(ctx context.Context, queue string) (int, bool) {
 	n.pending.mu.Lock()
--- a/node/jobs.go
+++ b/node/jobs.go
@@ -11,7 +11,7 @@
 	"leverstile.dev/job"
 )
 
-// jobsServer serves the product's own interface to jobs.
+// jobsServer serves the product's own job API.
 type jobsServer struct{ node *Node }
 
 // Submit implements jobsv1connect.JobsHandler.
@@ -29,7 +29,7 @@
 	}), nil
 }
 
-// checkSpec refuses what no entry would take from a customer.
+// checkSpec returns an error for a job that no entry accepts from a customer.
 func (n *Node) checkSpec(spec *job.Spec) error {
 	if err := spec.Validate(); err != nil {
 		return connect.NewError(connect.CodeInvalidArgument, err)
@@ -68,7 +68,7 @@
 	return connect.NewResponse(&jobsv1.PendingResponse{Pending: int64(n)}), nil
 }
 
-// errNoOwner: no entry answers for the cell now.
+// errNoOwner means that no entry currently answers as owner of the cell.
 const errNoOwner = errors.ConstError("no owner answers")
 
 // Explain implements jobsv1connect.JobsHandler.
--- a/node/operators.go
+++ b/node/operators.go
@@ -9,26 +9,26 @@
 	"leverstile.dev/kv"
 )
 
-// Bounds of the back-off of reads of what the operators write. A version of the
+// Bounds of the back-off of reads of the operators' keys. A version of the
 // configuration must be in force within 2 s of its acceptance.
 const (
 	operatorsRetryMin = 50 * time.Millisecond
 	operatorsRetryMax = 400 * time.Millisecond
 )
 
-// operatorsFollower follows what the operators write.
+// operatorsFollower watches the operators' keys.
 type operatorsFollower struct {
 	node *Node
-	// read is set once everything was read; revision is the store's, up to which all
-	// changes since are known.
+	// read is set once all keys have been read; revision is the store's revision up to
+	// which all changes have been applied.
 	read     bool
 	revision int64
 	wait     backoff
 }
 
-// RunOperators follows what the operators write until ctx ends: the
-// configuration, evacuations and waves of upkeep. A watch that hears nothing is
-// ended by the store within 1.5 s and begun again.
+// RunOperators applies changes of the operators' keys until ctx ends: the configuration,
+// evacuations and maintenance waves. The store ends a watch without events within
+// 1.5 s, and it is restarted.
 func (n *Node) RunOperators(ctx context.Context) error {
 	f := &operatorsFollower{node: n, wait: backoff{least: operatorsRetryMin, most: operatorsRetryMax}}
 	for ctx.Err() == nil {
@@ -46,9 +46,9 @@
 	return nil
 }
 
-// follow watches what is written, and reads everything first where changes may have been
-// missed. All entries' watches break at once when the store does: if each read everything
-// again, the answers would fill the store's link and break the next watches.
+// follow watches the operators' keys, and first reads them all if changes may have been
+// missed. When the store fails, the watches of all entries break at once: if each entry read
+// all keys again, the answers would fill the store's link and break the next watches.
 func (f *operatorsFollower) follow(ctx context.Context) error {
 	n := f.node
 	if !f.read {
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// putOperators takes in a configuration or a wave of upkeep.
+// applyOperatorKey applies a configuration or a maintenance wave.
 func (n *Node) putOperators(p kv.Pair) {
 	if p.Key == n.opts.ConfigKey {
 		n.putConfig(p)
--- a/node/peers.go
+++ b/node/peers.go
@@ -15,14 +15,14 @@
 	"leverstile.dev/job"
 )
 
-// Timeouts of calls between entries, which are half a millisecond apart.
+// Timeouts of calls between entries, whose network latency is half a millisecond.
 const (
 	peerDialTimeout = 250 * time.Millisecond
 	peerAskTimeout  = 400 * time.Millisecond
-	// peerWriteTimeout leaves a relayed write its own tries.
+	// peerWriteTimeout leaves the receiving entry the time for its own tries of a write.
 	peerWriteTimeout = writeBudget
 	peerIdle         = 60 * time.Second
-	// peerConnections is the most idle connections kept to an entry.
+	// peerConnections is the maximum number of idle connections kept to an entry.
 	peerConnections = 4
 )
 
@@ -30,7 +30,7 @@
 	return &http.Client{Transport: dial.NewTransport(peerConnections, peerDialTimeout, peerIdle)}
 }
 
-// ownerClient returns a client of the owner, nil if it is this node or unknown.
+// ownerClient returns a client of the owner, nil if this node is the owner or none is known.
 func (n *Node) ownerClient() jobsv1connect.OwnerClient {
 	lead := n.lead.Load()
 	if lead == nil || lead.Address == "" || lead.Entry == n.opts.Entry {
@@ -39,7 +39,7 @@
 	return jobsv1connect.NewOwnerClient(n.peers, "http://"+lead.Address)
 }
 
-// ownerState asks the owner for a job's state; false if it doesn't know.
+// ownerState asks the owner for a job's state; false if the owner does not know the job.
 func (n *Node) ownerState(ctx context.Context, id string) (job.Status, bool) {
 	if o := n.current.Load(); o != nil {
 		return o.stateOf(id)
@@ -105,7 +105,7 @@
 	return fromWire(resp.Msg.GetRecorded())
 }
 
-// relayFailed tells a call that was never sent from one without an answer.
+// failedRelayResult distinguishes a call that was never sent from one without an answer.
 func relayFailed(err error) Recorded {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -132,8 +132,8 @@
 // peerServer serves the calls of other entries.
 type peerServer struct{ node *Node }
 
-// PeersHandler returns the handler of other entries' calls and of the product's
-// own interface.
+// PeersHandler returns the handler of calls of other entries and of the product's
+// own API.
 func (n *Node) PeersHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(jobsv1connect.NewOwnerHandler(&peerServer{n}))
@@ -161,8 +161,8 @@
 	return connect.NewResponse(&jobsv1.CountPendingResponse{Owner: true, Pending: int64(o.pendingOf(req.Msg.GetQueue()))}), nil
 }
 
-// mayRecord reports whether this entry need not ask the owner to record what another one
-// asks of it: such a request goes no further than to the owner.
+// mayRecord reports whether this entry may record another entry's request without asking
+// the owner: a relayed request is forwarded to the owner and no further.
 func (n *Node) mayRecord() bool { return !n.store.Down() || n.current.Load() != nil }
 
 // SubmitJob implements jobsv1connect.OwnerHandler.
--- a/node/store.go
+++ b/node/store.go
@@ -14,13 +14,13 @@
 	"leverstile.dev/kv"
 )
 
-// Store is what a node needs of the platform's store.
+// Store is the part of the platform's store that a node uses.
 type Store interface {
 	kv.Store
-	// Get reads one key; the pair is nil if it isn't there.
+	// Get reads one key; the pair is nil if the key does not exist.
 	Get(ctx context.Context, key string) (*kv.Pair, error)
-	// WatchPatiently is Watch with fewer calls while nothing changes; a watch that the
-	// store leaves unanswered is noticed some seconds later.
+	// WatchPatiently is Watch with fewer calls while nothing changes; it takes some seconds
+	// longer to detect a watch that the store no longer answers.
 	WatchPatiently(ctx context.Context, prefix string, after int64, handle func(rev int64, events []kv.Event)) error
 }
 
@@ -29,31 +29,31 @@
 	ListWorkers(ctx context.Context) (dispatch.WorkerList, error)
 }
 
-// Workers sends orders to workers.
+// Workers sends requests to workers.
 type Workers interface {
 	Hold(ctx context.Context, h dispatch.PollRequest) (dispatch.PollReply, dispatch.Outcome)
 	Send(ctx context.Context, o dispatch.Order) dispatch.Answer
-	// Abort breaks off the calls under way.
+	// Abort cancels the calls under way.
 	Abort()
 }
 
-// Advisor asks the placement policy of a queue.
+// Advisor calls the placement policy of a queue.
 type Advisor interface {
 	Advise(ctx context.Context, req dispatch.AdviceRequest) ([]dispatch.Ticket, error)
 }
 
-// VMs gives orders for VMs to the platform.
+// VMs sends requests for VMs to the platform.
 type VMs interface {
 	BeginUpkeep(ctx context.Context, o dispatch.MaintenanceOrder) dispatch.MaintenanceOutcome
 }
 
-// Ports are what a node needs of the platform.
+// Ports are the interfaces to the platform that a node uses.
 type Ports struct {
 	Store   Store
 	Lister  Lister
 	Workers Workers
 	Advisor Advisor
-	// VMs may be nil where no upkeep is asked for.
+	// VMs may be nil if no maintenance is requested.
 	VMs VMs
 }
 
@@ -61,24 +61,25 @@
 const (
 	// leadKey holds the owner, under its lease.
 	leadKey = "ls/own/lead"
-	// termKey holds the highest fencing token of the last term that was given: the next
-	// term is above it, also one of an entry that knows of one token a term.
+	// termKey holds the highest fencing token reserved by the latest term. The next term
+	// starts above it, also that of an entry which uses one token a term.
 	termKey = "ls/own/term"
-	// chainKey is written with every record of the owner, under the condition
-	// that it is as the owner left it: a write whose answer was lost can't
-	// take effect after a later one.
+	// chainKey is written with every record of the owner, under the condition that it is
+	// unchanged since the owner's previous write: a write whose answer was lost can't take
+	// effect after a later one.
 	chainKey = "ls/own/chain"
-	// rosterKey held all workers that may have orders. Now it holds rosterInParts, which
-	// an entry that knows of one key reads as a damaged list; rosterPrefix has the parts.
+	// rosterKey holds rosterInParts, and rosterPrefix the parts of the list of all workers
+	// that may have orders. An entry that expects the whole list under rosterKey reads that
+	// value as a damaged list.
 	rosterKey     = "ls/own/roster"
 	rosterPrefix  = rosterKey + "/"
 	rosterInParts = "parts"
-	// unheardKey holds the tasks that may have run at workers which were lost before the
-	// owner heard of them.
+	// unreadKey holds the tasks that may have run at workers which were lost before the
+	// owner read their lists.
 	unheardKey = "ls/own/unheard"
-	// learntKey holds what the owner has learnt of run times and interference.
+	// learntKey holds the owner's estimates of run times and interference.
 	learntKey = "ls/own/learnt"
-	// intakePrefix holds what entries record for the owner.
+	// intakePrefix holds the jobs and cancellations that entries record for the owner.
 	intakePrefix = "ls/in/"
 	jobPrefix    = intakePrefix + "job/"
 	cancelPrefix = intakePrefix + "cancel/"
@@ -87,24 +88,24 @@
 	ownPrefix      = "ls/own/"
 )
 
-// storeHealth follows whether the store answers this process. It wraps the
-// store, so that every call counts.
+// storeHealth tracks whether the store answers this process. It wraps the store, so
+// that every call counts.
 type storeHealth struct {
 	Store
-	lastOK   atomic.Int64 // steady nanoseconds
+	lastOK   atomic.Int64 // steady clock, in nanoseconds
 	failures atomic.Int32 // in a row
 	clock    func() time.Duration
 	changed  func(up bool, err error)
 }
 
-// Figures of the store's health.
+// Thresholds of the store's health.
 const (
-	// downAfter failed calls in a row without a success for downQuiet, the
-	// store counts as down and nothing that needs it is tried by callers.
+	// After downFailures failed calls in a row without a success for downOutage, the store
+	// counts as down, and callers make no calls that need it.
 	downAfter = 2
 	downQuiet = 400 * time.Millisecond
-	// unreadyQuiet is the same for readiness: shorter outages hit all
-	// entries alike, and turning callers away would not help them.
+	// unreadyOutage is the outage after which the entry is not ready: shorter outages hit
+	// all entries alike, and sending callers to another entry would not help them.
 	unreadyQuiet = 2500 * time.Millisecond
 )
 
@@ -121,7 +122,7 @@
 	}
 }
 
-// quiet returns for how long the store has not answered, 0 while it does.
+// outage returns for how long the store has not answered, 0 while it answers.
 func (h *storeHealth) quiet() time.Duration {
 	if h.failures.Load() < downAfter {
 		return 0
@@ -129,7 +130,7 @@
 	return h.clock() - time.Duration(h.lastOK.Load())
 }
 
-// silentFor returns how long ago the store last answered this process.
+// sinceAnswer returns the time since the store last answered this process.
 func (h *storeHealth) silentFor() time.Duration { return h.clock() - time.Duration(h.lastOK.Load()) }
 
 // Down reports whether callers should not wait for the store.
@@ -183,7 +184,7 @@
 	return h.noted(h.Store.WatchPatiently)(ctx, prefix, after, handle)
 }
 
-// noted returns a watch whose answers count for the store's health.
+// recorded returns a watch whose answers count for the store's health.
 func (h *storeHealth) noted(watch watchFunc) watchFunc {
 	return func(ctx context.Context, prefix string, after int64, handle func(int64, []kv.Event)) error {
 		err := watch(ctx, prefix, after, func(rev int64, events []kv.Event) {
--- a/node/storerelay.go
+++ b/node/storerelay.go
@@ -15,27 +15,27 @@
 	"leverstile.dev/kv"
 )
 
-// The store may not answer the owner while it serves all others. A takeover reads all
-// state and asks every worker, so the owner rather has other entries renew its lease and
+// The store may fail to answer the owner while it serves all other entries. A takeover reads
+// all state and polls every worker, so the owner instead has other entries renew its lease and
 // carry out its writes until the store answers it again.
 
-// Figures of calls to the store through other entries.
+// Limits of calls to the store through other entries.
 const (
-	// relayAfter the owner asks another entry to make a call that the store has not
-	// answered: a slow store takes 360 ms.
+	// relayDelay is how long the store may leave a call unanswered before the owner asks
+	// another entry to make it: a slow store takes 360 ms.
 	relayAfter = 450 * time.Millisecond
-	// relayTries is how many entries are asked to make one call.
+	// relayAttempts is how many entries are asked to make one call.
 	relayTries = 2
-	// relayFor is how long the store may not have answered the owner itself. What it
-	// reads for itself, as the list of workers, is out of date after that.
+	// maxStoreSilence is how long the store may not have answered the owner itself. Beyond
+	// it, what the owner reads itself, such as the list of workers, is out of date.
 	relayFor = 8 * time.Second
-	// mostRelays is how many entries are remembered, relayFresh for how long: the store
-	// has answered them shortly before.
+	// maxRelays is how many entries are remembered, relayMaxAge for how long: only entries
+	// that the store answered recently are useful.
 	mostRelays = 8
 	relayFresh = 10 * time.Second
 )
 
-// relayList holds the entries that the store has answered of late, the newest last. Its
+// relayList holds the entries that the store has recently answered, the newest last. Its
 // lock guards entries.
 type relayList struct {
 	mu      sync.Mutex
@@ -47,7 +47,7 @@
 	heardAt time.Duration
 }
 
-// heard notes that the store has answered an entry.
+// add records that the store has answered an entry.
 func (l *relayList) heard(address string, now time.Duration) {
 	if address == "" {
 		return
@@ -59,14 +59,14 @@
 	l.entries = l.entries[max(len(l.entries)-mostRelays, 0):]
 }
 
-// drop forgets an entry that did not answer, or that the store does not answer either.
+// drop removes an entry that did not answer, or that the store does not answer either.
 func (l *relayList) drop(address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.entries = slices.DeleteFunc(l.entries, func(e relayEntry) bool { return e.address == address })
 }
 
-// newest returns the entry that was heard of last.
+// newest returns the entry that was added last, and whether it is recent enough.
 func (l *relayList) newest(now time.Duration) (address string, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -88,13 +88,13 @@
 	err   error
 }
 
-// conclusive reports whether the store itself has decided a call.
+// conclusive reports whether an error is the store's own decision on a call.
 func conclusive(err error) bool { return err == nil || errors.Is(err, kv.ErrLeaseNotFound) }
 
-// make makes a call, and has other entries make it too if the store does not answer.
-// More than one of them may take effect, so it must be a renewal, or a write that only one
-// can make; twice is set if another entry may have carried it out as well.
-func (c storeCall[T]) make(ctx context.Context, o *owner) (value T, twice bool, err error) {
+// execute makes a call, and has other entries make it too if the store does not answer.
+// More than one of them may take effect, so the call must be a renewal, or a write that takes
+// effect once at most; mayBeRelayed is set if another entry may have carried it out as well.
+func (c storeCall[T]) make(ctx context.Context, o *owner) (value T, mayBeRelayed bool, err error) {
 	answers := make(chan storeAnswer[T], 1)
 	go func() {
 		value, err := c.direct(ctx)
@@ -109,7 +109,7 @@
 		if conclusive(a.err) || ctx.Err() != nil {
 			return a.value, false, a.err
 		}
-		answers <- a // what is told if no entry helps
+		answers <- a // the result if no entry helps
 	case <-time.After(wait):
 	case <-ctx.Done():
 	}
@@ -123,24 +123,24 @@
 			o.noteRelayed(address)
 			return value, true, err
 		}
-		twice = twice || !errors.Is(err, kv.ErrNotDone)
+		mayBeRelayed = mayBeRelayed || !errors.Is(err, kv.ErrNotDone)
 		o.node.relays.drop(address)
 	}
 	a := <-answers
-	if twice && errors.Is(a.err, kv.ErrNotDone) {
+	if mayBeRelayed && errors.Is(a.err, kv.ErrNotDone) {
 		a.err = errors.Annotate(kv.ErrUnavailable, a.err.Error())
 	}
-	return a.value, twice, a.err
+	return a.value, mayBeRelayed, a.err
 }
 
-// through has another entry make the call.
+// callThrough has another entry make the call.
 func (c storeCall[T]) through(ctx context.Context, o *owner, address string) (T, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerAskTimeout)
 	defer cancel()
 	return c.relay(ctx, jobsv1connect.NewRelayClient(o.node.peers, "http://"+address))
 }
 
-// noteRelayed logs that the owner's calls are made by other entries, once an outage.
+// logRelayed logs, once an outage, that other entries make the owner's calls.
 func (o *owner) noteRelayed(address string) {
 	if o.node.relayed.CompareAndSwap(false, true) {
 		o.node.log.Warn().Str("event", "store_relayed").Str("by", address).Dur("silent", o.node.store.silentFor()).Msg("")
@@ -166,9 +166,9 @@
 	return err
 }
 
-// do carries out a write of the owner's, whose conditions keep it from taking effect twice.
-// If twice is set, one that is refused may have taken effect.
-func (o *owner) do(ctx context.Context, txn kv.Txn) (res kv.TxnResult, twice bool, err error) {
+// do carries out a write of the owner, whose conditions keep it from taking effect twice.
+// If mayBeRelayed is set, a write that is refused may have taken effect.
+func (o *owner) do(ctx context.Context, txn kv.Txn) (res kv.TxnResult, mayBeRelayed bool, err error) {
 	return storeCall[kv.TxnResult]{
 		direct: func(ctx context.Context) (kv.TxnResult, error) { return o.node.store.Do(ctx, txn) },
 		relay: func(ctx context.Context, c jobsv1connect.RelayClient) (res kv.TxnResult, err error) {
@@ -189,9 +189,9 @@
 	}.make(ctx, o)
 }
 
-// recordThroughOthers has another entry record what a customer asked for, while the store does
-// not answer the owner, and takes it in: the owner's watch tells nothing then. What is recorded
-// without a value is a cancellation.
+// recordViaRelay has another entry record a customer's request while the store does not answer
+// the owner, and processes it at once: the owner's watch reports nothing then. A record without
+// a value is a cancellation.
 func (o *owner) recordThroughOthers(ctx context.Context, key, id string, value []byte) Recorded {
 	if _, ok := o.node.relays.newest(o.node.clock()); !ok || o.node.store.silentFor() > relayFor {
 		return RecordedNo
@@ -203,7 +203,7 @@
 		Then: []kv.Op{kv.Put(key, stored(value), 0)},
 	})
 	switch {
-	case err == nil: // one that is there was written for the same customer
+	case err == nil: // a record that exists was written for the same customer
 		o.takeHint(id, value)
 		return RecordedYes
 	case errors.Is(err, kv.ErrNotDone):
@@ -213,7 +213,7 @@
 	}
 }
 
-// stored returns the value of a record; that of a cancellation says nothing.
+// recordValue returns the value to store for a record; the value of a cancellation has no meaning.
 func stored(value []byte) []byte {
 	if len(value) == 0 {
 		return []byte("1")
@@ -221,8 +221,8 @@
 	return value
 }
 
-// cancelThroughOthers is recordThroughOthers for a cancellation. Of a job that the owner does
-// not know, only the store could tell whether it is there.
+// cancelViaRelay is recordViaRelay for a cancellation. It refuses a job that the owner does
+// not know: only the store could show whether it exists.
 func (o *owner) cancelThroughOthers(ctx context.Context, id string) Recorded {
 	if _, known := o.stateOf(id); !known {
 		return RecordedNo
@@ -230,7 +230,7 @@
 	return o.recordThroughOthers(ctx, cancelPrefix+id, id, nil)
 }
 
-// outcomeOf tells what became of a call to the store.
+// outcomeOf returns the wire value for the result of a call to the store.
 func outcomeOf(err error) jobsv1.StoreOutcome {
 	switch {
 	case err == nil:
@@ -244,7 +244,7 @@
 	}
 }
 
-// outcomeError is the opposite of outcomeOf.
+// outcomeError is the inverse of outcomeOf.
 func outcomeError(outcome jobsv1.StoreOutcome) error {
 	switch outcome {
 	case jobsv1.StoreOutcome_STORE_OUTCOME_DONE:
--- a/node/upkeep.go
+++ b/node/upkeep.go
@@ -10,13 +10,13 @@
 	"leverstile.dev/kv"
 )
 
-// wavePrefix is where the owner keeps how far waves of upkeep have come, under
-// their number.
+// wavePrefix is where the owner stores the progress of maintenance waves, under
+// their numbers.
 const wavePrefix = ownPrefix + "wave/"
 
 func waveKey(number int64) string { return wavePrefix + strconv.FormatInt(number, 10) }
 
-// waveList holds the operators' waves that were seen. Its lock guards waves.
+// waveList holds the operators' waves that were read. Its lock guards waves.
 type waveList struct {
 	mu    sync.Mutex
 	waves []dispatch.Wave
@@ -28,7 +28,7 @@
 	return slices.Clone(l.waves)
 }
 
-// add reports whether the wave is new.
+// add adds a wave and reports whether it is new.
 func (l *waveList) add(w dispatch.Wave) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -39,7 +39,7 @@
 	return true
 }
 
-// putWave takes in a wave of upkeep, if the key is that of one.
+// addWave adds a maintenance wave, if the key is that of one.
 func (n *Node) putWave(p kv.Pair) {
 	if n.opts.DecodeWave == nil {
 		return
@@ -61,8 +61,8 @@
 	}
 }
 
-// takeWaves hands the waves that were seen so far to the core, with what the
-// store held of them at the takeover. Those that it knows stay as they are.
+// applyWaves passes the waves that were read so far to the core, with their records in
+// the store at the takeover. Waves that the core has already are not changed.
 func (o *owner) takeWaves(core *dispatch.Core, now dispatch.Instant) {
 	for _, wave := range o.node.waves.all() {
 		if err := core.SetWave(wave, o.waveRecords[waveKey(wave.Number)], now); err != nil {
@@ -71,7 +71,7 @@
 	}
 }
 
-// noteWaveRecords keeps what the store holds of waves for takeWaves.
+// loadWaveRecords keeps the stored records of waves for applyWaves.
 func (o *owner) noteWaveRecords(own []kv.Pair) {
 	o.waveRecords = map[string][]byte{}
 	for _, p := range own {
@@ -81,7 +81,7 @@
 	}
 }
 
-// beginUpkeep makes one call for a VM and takes in the answer.
+// beginMaintenance makes one maintenance call for a VM and records the outcome.
 func (o *owner) beginUpkeep(order dispatch.MaintenanceOrder) {
 	outcome := dispatch.MaintenanceUnknown
 	if o.node.vms != nil && o.mayAct(o.ctx) {
@@ -93,7 +93,7 @@
 	o.locked(func(c *dispatch.Core, now dispatch.Instant) { c.MaintenanceDone(order, outcome, now) })
 }
 
-// waveOps returns the writes of a wave's record and of what operators are told.
+// waveOps returns the writes of a wave's record and of the status that operators read.
 func (n *Node) waveOps(r *dispatch.WaveRecord) []kv.Op {
 	if r == nil {
 		return nil
