--- a/node/admit_test.go
+++ b/node/admit_test.go
@@ -10,10 +10,9 @@
 	"leverstile.dev/platform/wiretest"
 )
 
-// TestLastingJobWithoutRoomIsRefusedUnrecorded: a customer whose lasting job finds no room beside
-// what short tasks need hears so at once, at any entry, and when to come back; the store holds
-// nothing of it, and the same job is taken once it fits. A job that the store holds is never
-// refused.
+// TestLongRunningJobWithoutCapacityIsRefusedUnrecorded: a long-running job that finds no capacity
+// beside what short tasks need is refused at once, at any entry, with a time to retry, and the
+// store holds no record of it.
 func TestLastingJobWithoutRoomIsRefusedUnrecorded(t *testing.T) {
 	c := newCell(t, 2, 0)
 	const workers, work = 8, time.Minute
@@ -22,14 +21,14 @@
 	}
 	c.submit(0, id(1), `{"spec":"s","steps":[{"count":6,"cpu":8000,"mem_mb":100}]}`)
 	c.awaitState(0, id(1), "running")
-	lasting := func(count int) string {
+	longRunning := func(count int) string {
 		return fmt.Sprintf(`{"spec":"s","steps":[{"count":%d,"cpu":8000,"mem_mb":100,"long_running":true}]}`, count)
 	}
 	for n := range c.nodes {
 		job := id(10 + n)
 		c.await("a refusal", func() bool {
-			status, _, header := c.call(n, "POST", job, lasting(100))
-			if status == http.StatusOK { // before the room that short tasks need was seen
+			status, _, header := c.call(n, "POST", job, longRunning(100))
+			if status == http.StatusOK { // before the owner saw what capacity short tasks need
 				job = id(20 + len(c.store.Keys("ls/in/job/")))
 				return false
 			}
@@ -45,7 +44,7 @@
 	}
 }
 
-// TestRecordedJobIsNotRefused: its customer would take it for one that will never run.
+// TestRecordedJobIsNotRefused: its customer would take the refusal to mean that it will never run.
 func TestRecordedJobIsNotRefused(t *testing.T) {
 	c := newCell(t, 2, 0)
 	const workers, work = 8, time.Minute
@@ -53,7 +52,7 @@
 		c.workers = append(c.workers, wiretest.NewWorker(c.store, fmt.Sprintf("i-%d", i), "svc", work))
 	}
 	body := `{"spec":"s","steps":[{"count":100,"cpu":8000,"mem_mb":100,"long_running":true}]}`
-	c.submit(0, id(1), body) // no short task was seen: it waits for room
+	c.submit(0, id(1), body) // no short task was seen: the job waits for capacity
 	c.submit(0, id(2), `{"spec":"s","steps":[{"count":6,"cpu":2000,"mem_mb":100}]}`)
 	c.await("a refusal of another job", func() bool {
 		status, _, _ := c.call(0, "POST", id(10+len(c.store.Keys("ls/in/job/"))), body)
@@ -61,7 +60,7 @@
 	})
 	for n := range c.nodes {
 		if status, _, _ := c.call(n, "POST", id(1), body); status != http.StatusOK {
-			t.Errorf("a recorded job handed in again at entry %d gets %d", n, status)
+			t.Errorf("a recorded job submitted again at entry %d gets %d", n, status)
 		}
 	}
 }
--- a/node/again_test.go
+++ b/node/again_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-// A process that loses its lease and is elected again at once starts nothing twice:
-// nothing of the earlier term is sent any more, and what runs is adopted.
+// A process that loses its lease and is elected again at once starts nothing twice: no
+// request of the earlier term is sent any more, and running tasks are adopted.
 //
-// The end of the earlier term closes all connections to workers. That the next term
-// does not meet the closed ones, one a poll, with pauses of up to 0.8 s in between, is
-// for TestCallsAfterAbort to show; here it only took longer.
+// The end of the earlier term closes all connections to workers. TestCallsAfterAbort checks
+// that the next term does not use the closed ones, one each poll, with pauses of up to 0.8 s
+// in between; here that would only take longer.
 func TestElectedAgainInOneProcess(t *testing.T) {
 	c := newCell(t, 1, 3)
 	next := 1
@@ -20,7 +20,7 @@
 			c.submit(0, id(next), twoSteps)
 			next++
 		}
-		c.owner() // jobs are accepted without one
+		c.owner() // jobs are accepted even without an owner
 		c.store.EndLeases()
 		c.await(fmt.Sprintf("term %d", want), func() bool {
 			_, term := c.term()
--- a/node/evacuations_test.go
+++ b/node/evacuations_test.go
@@ -14,7 +14,7 @@
 	"leverstile.dev/platform/wiretest"
 )
 
-// zoned returns a cell with workers in zones b and c, some each.
+// zoned returns a cell with the same number of workers in zones b and c.
 func zoned(t *testing.T, nodes, each int) (c *cell, inB, inC []*wiretest.Worker) {
 	c = newCell(t, 0, 0)
 	for i := range each {
@@ -41,7 +41,7 @@
 	return n
 }
 
-// play hands jobs in and waits for their end.
+// play submits jobs and waits for their success.
 func (c *cell) play(from, to int) {
 	for i := from; i < to; i++ {
 		c.submit(i%len(c.nodes), id(i), twoSteps)
@@ -51,7 +51,8 @@
 	}
 }
 
-// heeded waits until jobs no longer start at workers; it returns their starts.
+// awaitNoStarts submits jobs until none of them starts at the workers; it returns the
+// number of starts at them.
 func (c *cell) heeded(workers []*wiretest.Worker, next *int) int {
 	before := -1
 	c.await("an end of starts", func() bool {
@@ -67,9 +68,8 @@
 	return before
 }
 
-// An evacuated data centre gets nothing until it is taken back, also under the
-// next owner, also if the key's value can't be read, and where the store has
-// forgotten its history.
+// An evacuated data centre gets no tasks until its evacuation is lifted, also under the next
+// owner, with an unreadable value of the key, and after the store compacted its history.
 func TestEvacuatedDataCentreGetsNothing(t *testing.T) {
 	c, inB, inC := zoned(t, 2, 2)
 	next := 1
@@ -87,7 +87,7 @@
 	c.play(next, next+12)
 	next += 12
 	if n := startsAt(inB); n != before {
-		t.Errorf("%d starts after the owner's end", n-before)
+		t.Errorf("%d starts after the change of owners", n-before)
 	}
 	c.store.Delete("op/evacuate/b")
 	c.await("starts after the evacuation", func() bool {
@@ -114,7 +114,7 @@
 	return owner
 }
 
-// blindStore shows a node nothing of what the operators write while blind is set.
+// blindStore hides the operators' keys from a node while blind is set.
 type blindStore struct {
 	*platform.Store
 	mu    sync.Mutex
@@ -150,8 +150,8 @@
 	return err
 }
 
-// An owner whose own reads of the operators' keys fail hears of an evacuation from
-// the other entries.
+// An owner whose own reads of the operators' keys fail receives an evacuation from the
+// other entries.
 func TestOwnerHearsOfEvacuationsFromEntries(t *testing.T) {
 	c, inB, _ := zoned(t, 0, 2)
 	stores := map[string]*blindStore{}
@@ -171,6 +171,6 @@
 	before := c.heeded(inB, &next)
 	c.play(next, next+12)
 	if n := startsAt(inB); n != before {
-		t.Errorf("%d starts after the evacuation was heeded", n-before)
+		t.Errorf("%d starts after the evacuation took effect", n-before)
 	}
 }
--- a/node/follow_test.go
+++ b/node/follow_test.go
@@ -9,10 +9,10 @@
 	"leverstile.dev/platform/wiretest"
 )
 
-// configApplied after a version was written, it is in force everywhere.
+// configApplied is the time within which a new version of the configuration is in force everywhere.
 const configApplied = 2 * time.Second
 
-// TestOwnerFollowsTheConfiguration: a queue that was added later gets the workers of its service.
+// TestOwnerFollowsTheConfiguration: a queue moves to the workers of another service with a new version.
 func TestOwnerFollowsTheConfiguration(t *testing.T) {
 	c := newCell(t, 1, 1)
 	c.submit(0, id(1), twoSteps)
@@ -29,13 +29,13 @@
 	c.awaitState(0, id(2), "succeeded")
 	for task := range c.workers[0].Starts() {
 		if strings.HasPrefix(task, id(2)) {
-			t.Errorf("task %s ran at the service before", task)
+			t.Errorf("task %s ran at the previous service", task)
 		}
 	}
 }
 
-// TestJobsOfALostHistoryAreRun: a job whose news the store has forgotten is read with all others,
-// and so is its cancellation.
+// TestJobsOfALostHistoryAreRun: a job and a cancellation that the watch missed, since the store
+// compacted its history, are found when all records are read again.
 func TestJobsOfALostHistoryAreRun(t *testing.T) {
 	c := newCell(t, 1, 1)
 	c.submit(0, id(1), twoSteps)
@@ -61,10 +61,10 @@
 	c.awaitState(0, id(3), "cancelled")
 }
 
-// drainHeeded after a worker says that it drains, nothing more is started there.
+// drainHeeded is the time after which no more tasks are started at a draining worker.
 const drainHeeded = 2 * time.Second
 
-// TestDrainingWorkerGetsNothing: once that is known, whatever comes.
+// TestDrainingWorkerGetsNothing: no task is started at a worker after its drain is known.
 func TestDrainingWorkerGetsNothing(t *testing.T) {
 	c := newCell(t, 2, 2)
 	next := 0
@@ -84,7 +84,7 @@
 		c.awaitState(i%2, id(i), "succeeded")
 	}
 	if n := len(leaving.Records()) - before; n > 0 {
-		t.Errorf("%d tasks were started at a worker that drains", n)
+		t.Errorf("%d tasks were started at a draining worker", n)
 	}
 	c.checkRuns()
 }
--- a/node/foreign_test.go
+++ b/node/foreign_test.go
@@ -11,8 +11,8 @@
 	"leverstile.dev/platform/wiretest"
 )
 
-// Entries of other writers hide no worker, whatever they hold, and the owner calls
-// no address of a service that does not exist.
+// Damaged or unknown entries in the list of workers, written by others, hide no worker, and
+// the owner calls no address of an undeclared service.
 func TestForeignEntriesHideNoWorker(t *testing.T) {
 	c := newCell(t, 0, 2)
 	for i, value := range []string{"null", "[1", "\xff", `{"service":7}`, `{"service":"svc","state":"parked","zone":"a","address":"127.0.0.1:1","capacity":{"cpu":1}}`} {
@@ -24,15 +24,15 @@
 	c.checkRuns()
 }
 
-// A worker whose entry is overwritten by something that can't be read gets nothing
-// new, and what runs there runs on: such an entry is no word that it drains.
+// A worker whose entry is overwritten by an unreadable value gets no new tasks, and its
+// running tasks go on: such an entry does not mean that the worker drains.
 func TestOverwrittenEntryStopsNothing(t *testing.T) {
 	c := newCell(t, 0, 0)
 	for i := range 2 {
 		c.workers = append(c.workers, wiretest.NewWorker(c.store, fmt.Sprintf("i-%d", i), "svc", time.Hour))
 	}
 	c.nodes = append(c.nodes, c.startNode("entry-0"))
-	// The worker that is read first takes all that is handed in until the other is read.
+	// The worker that is read first gets all submitted tasks until the other is read.
 	const perJob = 4
 	jobs := 0
 	c.await("starts at each worker", func() bool {
@@ -49,7 +49,7 @@
 		c.store.Put("servers/"+w.ID, []byte(`{"service":"svc","state":"??"`))
 	}
 	next := jobs + 1
-	c.await("a job that waits, since no worker can be used", func() bool {
+	c.await("a job that waits, since no worker is usable", func() bool {
 		c.submit(0, id(next), `{"spec":"s","steps":[{"count":1,"cpu":500}]}`)
 		next++
 		status, text, _ := c.call(0, "GET", "", "")
@@ -67,9 +67,8 @@
 	}
 }
 
-// A next owner goes on with all other jobs when one job's record, one's progress,
-// the list of workers with orders and what was learnt are damaged, and starts
-// nothing again.
+// When one job's record, another one's progress, the list of workers with orders and the
+// estimates are damaged, the next owner goes on with all other jobs and starts nothing again.
 func TestDamagedRecordsBlockNothing(t *testing.T) {
 	c := newCell(t, 1, 2)
 	c.play(1, 4)
@@ -90,7 +89,7 @@
 	before := startsAt(c.workers)
 	c.nodes = append(c.nodes, c.startNode("entry-next"))
 	c.play(10, 12)
-	c.store.Compact() // all jobs are read again, and the damaged ones look new
+	c.store.Compact() // all jobs are read again, and the damaged ones seem to be new
 	c.play(20, 22)
 	time.Sleep(2 * time.Second) // a watch under way ends within 1.5 s
 	c.play(30, 32)
@@ -98,10 +97,10 @@
 		t.Errorf("%d starts for 36 new tasks: something was started again", n)
 	}
 	if status, _, _ := c.call(0, "GET", id(3), ""); status != http.StatusServiceUnavailable {
-		t.Errorf("the state of a job with damaged progress is told with %d", status)
+		t.Errorf("the state of a job with damaged progress gets status %d", status)
 	}
 	if status, text, _ := c.call(0, "GET", id(1), ""); status != http.StatusOK {
-		t.Errorf("a job whose progress is sound: %d %s", status, text)
+		t.Errorf("a job whose progress is undamaged: %d %s", status, text)
 	}
 	c.checkRuns()
 }
--- a/node/hint_test.go
+++ b/node/hint_test.go
@@ -15,12 +15,12 @@
 	"leverstile.dev/platform/wiretest"
 )
 
-// While watches are refused the owner hears of jobs and cancellations from the
-// entries that recorded them.
+// While the store refuses watches, the owner receives jobs and cancellations by hints
+// from the entries that recorded them.
 func TestOwnerHearsOfJobsWithoutItsWatch(t *testing.T) {
 	c := newCell(t, 2, 1)
 	c.submit(0, id(1), twoSteps)
-	c.awaitState(1, id(1), "succeeded") // there is an owner, and both know it
+	c.awaitState(1, id(1), "succeeded") // there is an owner, and both entries have its address
 	c.store.SetFault(func(_, path string) wiretest.Fault {
 		if path == "/kv-watch" {
 			return wiretest.FaultBusy
@@ -40,7 +40,7 @@
 	}
 }
 
-// A hint that comes late is not taken for a new job.
+// A hint that arrives late is not taken for a new job.
 func TestOldHintsAreIgnored(t *testing.T) {
 	c := newCell(t, 1, 1)
 	c.submit(0, id(1), twoSteps)
@@ -52,7 +52,7 @@
 	}
 	resp, err := owner.GetJob(context.Background(), connect.NewRequest(&jobsv1.GetJobRequest{Id: id(7)}))
 	if err != nil || resp.Msg.GetKnown() {
-		t.Errorf("an old hint was taken: %v, %v", resp, err)
+		t.Errorf("an old hint was processed: %v, %v", resp, err)
 	}
 	for task := range c.workers[0].Starts() {
 		if strings.HasPrefix(task, id(7)) {
--- a/node/known_test.go
+++ b/node/known_test.go
@@ -23,7 +23,7 @@
 	return nil, nil
 }
 
-// TestStatesWithoutAnOwner: while there is no owner, the store tells of each job that it holds.
+// TestStatesWithoutAnOwner: while there is no owner, states come from the store's records.
 func TestStatesWithoutAnOwner(t *testing.T) {
 	const id = "5c0e7a21d94b36f8"
 	for name, c := range map[string]struct {
@@ -32,7 +32,7 @@
 		want   job.State
 	}{
 		"no record": {nil, false, ""},
-		"handed in": {map[string]string{jobPrefix + id: "{}"}, true, job.Queued},
+		"submitted": {map[string]string{jobPrefix + id: "{}"}, true, job.Queued},
 		"under way": {map[string]string{jobPrefix + id: "{}", progressPrefix + id: `{"state":"running"}`}, true, job.Running},
 		"ended":     {map[string]string{jobPrefix + id: "{}", progressPrefix + id: `{"state":"succeeded"}`}, true, job.Succeeded},
 	} {
--- a/node/latestore_test.go
+++ b/node/latestore_test.go
@@ -13,8 +13,8 @@
 	"leverstile.dev/platform/wiretest"
 )
 
-// faultFirst has a fault befall the first call with a path's beginning. It returns
-// how many such calls there were.
+// faultFirst injects a fault into the first call whose path has a prefix. It returns the
+// count of such calls.
 func (c *cell) faultFirst(path string, fault wiretest.Fault) *atomic.Int32 {
 	seen := &atomic.Int32{}
 	c.store.SetFault(func(_, called string) wiretest.Fault {
@@ -26,7 +26,7 @@
 	return seen
 }
 
-// term returns who owns the cell by the store, and in which term.
+// term returns the owner of the cell and its term, from the store.
 func (c *cell) term() (entry string, term uint64) {
 	c.t.Helper()
 	value, ok := c.store.Value("ls/own/lead")
@@ -43,12 +43,12 @@
 	return lead.Entry, lead.Term
 }
 
-// nthTerm is the number of the n-th term, from 1.
+// nthTerm is the first fencing token of the n-th term, n from 1.
 func nthTerm(n uint64) uint64 { return 1 + (n-1)*dispatch.TokensPerTerm }
 
-// An election whose write got no answer is tried again, whether the write took
-// effect or not; one that takes effect later does not depose the owner that was
-// elected since, and the lease that it named does not keep or end the ownership.
+// An election whose write got no answer is retried, whether the write took effect or
+// not. A write that takes effect late does not depose the owner elected meanwhile, and the
+// lease that it names neither keeps nor ends the ownership.
 func TestElectionsWithoutAnAnswer(t *testing.T) {
 	for _, x := range []struct {
 		name  string
@@ -79,8 +79,8 @@
 	}
 }
 
-// A lease that is ended late, since the call of the owner that handed over took
-// long, is not that of the next owner.
+// A lease is revoked late, since the call of the owner that handed over took long: this
+// must not end the lease of the next owner.
 func TestLeaseEndedLate(t *testing.T) {
 	c := newCell(t, 1, 2)
 	c.submit(0, id(1), twoSteps)
@@ -88,7 +88,7 @@
 	c.nodes = append(c.nodes, c.startNode("entry-1"))
 	c.faultFirst("/kv-lease-end/", wiretest.FaultLate)
 	c.nodes[0].node.Drain()
-	c.awaitOwner(1) // the lease lapses
+	c.awaitOwner(1) // the lease expires
 	before, _ := c.store.Value("ls/own/lead")
 	if n := c.store.CarryOutLate(); n != 1 {
 		t.Fatalf("%d late calls", n)
@@ -103,8 +103,8 @@
 	c.checkRuns()
 }
 
-// A store that is down for longer than the owner's lease lasts leads to no second
-// start, whether leases waited or ran out meanwhile.
+// A store that is down for longer than the owner's lease causes no second start of a task,
+// whether the leases are renewed when it returns or have expired.
 func TestStoreDownForLongerThanLeases(t *testing.T) {
 	const down = 3 * time.Second
 	for _, wait := range []bool{true, false} {
--- a/node/operators_test.go
+++ b/node/operators_test.go
@@ -15,11 +15,10 @@
 	"leverstile.dev/standin"
 )
 
-// TestOperatorsAreFollowedOnAfterAnOutage: an entry whose watches break again and again
-// reads the configuration once, and has each version in force.
-//
-// Users would see versions in force late: with 587 entries each reading 0.4 MB after each
-// broken watch, the store's link was full, and watches broke since their answers were late.
+// TestOperatorsAreFollowedOnAfterAnOutage: an entry whose watches break repeatedly reads the
+// configuration once, and has each version in force in time. Reading it after each broken watch
+// fills the store's link with 587 entries and 0.4 MB each, and watches break again since their
+// answers are late.
 func TestOperatorsAreFollowedOnAfterAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size, outages = 400_000, 20
@@ -60,7 +59,7 @@
 	})
 }
 
-// decodeVersion reads a configuration that is a version alone.
+// decodeVersion reads a configuration that consists of its version.
 func decodeVersion(value []byte) (*job.Config, error) {
 	version, err := strconv.ParseInt(strings.TrimSpace(string(value)), 10, 64)
 	return &job.Config{Version: version}, err
--- a/node/relay_test.go
+++ b/node/relay_test.go
@@ -16,12 +16,12 @@
 	"leverstile.dev/kv"
 )
 
-// silentStore counts as down for the process.
+// silentStore refuses each read.
 type silentStore struct{ Store }
 
 func (silentStore) Get(context.Context, string) (*kv.Pair, error) { return nil, kv.ErrNotDone }
 
-// cutOffNode is an entry that the store does not answer, and that knows of an owner.
+// cutOffNode returns an entry that the store does not answer and that has the owner's address.
 func cutOffNode(t *testing.T, owner string) *Node {
 	t.Helper()
 	n := &Node{
@@ -37,7 +37,7 @@
 }
 
 // TestRelayedWritesWithoutAnAnswer: an owner that was sent a job or a cancellation may have
-// recorded it whatever became of its answer; only one that was never reached has not.
+// recorded it whatever happened to its answer; only an owner that was never reached has not.
 func TestRelayedWritesWithoutAnAnswer(t *testing.T) {
 	for name, c := range map[string]struct {
 		serve http.HandlerFunc
@@ -56,16 +56,16 @@
 				t.Errorf("a cancellation: %v, want %v", got, c.want)
 			}
 			if _, known, err := n.State(context.Background(), "5c0e7a21d94b36f8"); err == nil {
-				t.Errorf("the state of a job that nobody tells: known %v, want an error", known)
+				t.Errorf("the state of a job that neither the owner nor the store returns: known %v, want an error", known)
 			}
 			if count, ok := n.Pending(context.Background(), "q"); ok {
-				t.Errorf("%d pending jobs, though nobody tells", count)
+				t.Errorf("%d pending jobs, though no owner answers", count)
 			}
 		})
 	}
 }
 
-// addressOf returns the address of a server, or one where nobody listens.
+// addressOf returns the address of a server, or one that refuses connections.
 func addressOf(t *testing.T, serve http.HandlerFunc) string {
 	t.Helper()
 	if serve != nil {
@@ -107,30 +107,30 @@
 	}
 }
 
-// TestOldEvacuationsChangeNothing: what is known of a data centre goes by the store's revision,
-// in whatever order reads, watches and other entries tell.
+// TestOldEvacuationsChangeNothing: the state of a data centre follows the store's revisions, in
+// whatever order reads, watches and other entries report them.
 func TestOldEvacuationsChangeNothing(t *testing.T) {
 	var l evacuationList
 	for _, x := range []struct {
-		news evacuation
-		want int
+		update evacuation
+		want   int
 	}{
 		{evacuation{"a", 7, true}, 1},
-		{evacuation{"a", 5, false}, 1}, // from before
-		{evacuation{"a", 7, true}, 1},  // told again
+		{evacuation{"a", 5, false}, 1}, // older
+		{evacuation{"a", 7, true}, 1},  // repeated
 		{evacuation{"a", 9, false}, 0},
-		{evacuation{"a", 8, true}, 0}, // from before it was taken back
+		{evacuation{"a", 8, true}, 0}, // older than the lifting
 		{evacuation{"a", 11, true}, 1},
 	} {
-		l.note([]evacuation{x.news})
+		l.note([]evacuation{x.update})
 		if got := len(l.evacuated()); got != x.want {
-			t.Errorf("after %+v: %d are evacuated, want %d", x.news, got, x.want)
+			t.Errorf("after %+v: %d are evacuated, want %d", x.update, got, x.want)
 		}
 	}
 }
 
-// TestConfigurationReachesTheCore: a queue that was added gets its service's workers, and a
-// version that is older changes nothing.
+// TestConfigurationReachesTheCore: a queue is served by the workers of its service in the newest
+// configuration; an older version changes nothing.
 func TestConfigurationReachesTheCore(t *testing.T) {
 	core := dispatch.New(dispatch.Params{}, 1, nil)
 	queue := func(version int64, service string) *job.Config {
--- a/node/reread_test.go
+++ b/node/reread_test.go
@@ -17,14 +17,14 @@
 const intakePrefix = "ls/in/"
 
 // removals is a store that counts, and may refuse, the removals of jobs' records,
-// and that can hold back what the watch of jobs tells.
+// and that can withhold the watch of jobs.
 type removals struct {
 	node.Store
 	refused   bool
 	seen      atomic.Int32
 	rereads   atomic.Int32
 	withheld  atomic.Bool
-	intakeRev atomic.Int64 // the newest revision that was told of jobs
+	intakeRev atomic.Int64 // the newest revision reported by the watch of jobs
 }
 
 // Do implements kv.Store.
@@ -70,7 +70,7 @@
 	})
 }
 
-// awaitDecisions waits until an owner answers a node: before, a hint gets lost.
+// awaitDecisions waits until an owner answers a node: hints sent earlier are lost.
 func (c *cell) awaitDecisions(n int) {
 	c.t.Helper()
 	c.await("an owner's answer", func() bool {
@@ -79,7 +79,7 @@
 	})
 }
 
-// newRemovalsCell returns a cell of one node that forgets jobs soon.
+// newRemovalsCell returns a cell of one node that removes ended jobs soon.
 func newRemovalsCell(t *testing.T, store *removals) *cell {
 	c := newCell(t, 0, 1)
 	c.jobKept = 10 * time.Millisecond
@@ -91,14 +91,11 @@
 	return c
 }
 
-// A job that has ended, and whose records are still in the store when all of them
-// are read again, is not taken for a new one.
-//
-// Users would see jobs that ended a while ago run a second time, when the store
-// forgets its history: the owner drops an ended job from its memory when its time
-// is over, and removes its records later, with no other write waiting. If it loses
-// the watch of jobs in between, it reads all records anew, and those of jobs that
-// it does not know count as new. A busy owner always has other writes waiting.
+// Guards against a second run of an ended job after the store has compacted its history.
+// The owner drops an ended job from its memory, and removes its records later, when no
+// other write is waiting. If its watch of jobs fails in between, it reads all records
+// again, and would take those of the dropped job for a new one. A busy owner always has
+// other writes waiting.
 func TestDroppedJobsAreNotRunAgain(t *testing.T) {
 	store := &removals{refused: true}
 	c := newRemovalsCell(t, store)
@@ -117,10 +114,8 @@
 	}
 }
 
-// A job that the watch tells of only after its records were removed is not taken
-// for a new one.
-//
-// The owner heard of it by a hint, while its watch was silent for longer than
+// Guards against a second run of a job that the watch reports only after its records were
+// removed: the owner received it by a hint, while its watch was silent for longer than
 // records of ended jobs are kept.
 func TestLateWatchBringsNoJobBack(t *testing.T) {
 	store := &removals{}
--- a/node/slots_test.go
+++ b/node/slots_test.go
@@ -9,8 +9,8 @@
 	"github.com/phuslu/log"
 )
 
-// TestOrdersWaitForASlotOnlyAWhile: without the bound, orders pile up behind
-// calls that hang, long after they are out of date.
+// TestOrdersWaitForASlotForABoundedTime: without the bound, orders queue up behind calls that
+// hang, and are sent long after they are out of date.
 func TestOrdersWaitForASlotOnlyAWhile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := &owner{node: &Node{steady: steadyClock()}, ctx: context.Background(), slots: make(chan struct{}, 1)}
@@ -25,7 +25,7 @@
 		}
 		time.AfterFunc(slotWait/2, func() { <-o.slots })
 		if !o.awaitSlot() {
-			t.Error("the slot that came free is not taken")
+			t.Error("the slot that became free is not used")
 		}
 		if got := time.Duration(o.waited.Load()); got != slotWait/2 {
 			t.Errorf("waited %v, want %v", got, slotWait/2)
@@ -33,7 +33,7 @@
 	})
 }
 
-// TestOrdersUnderWayFitTheLink: on a small link calls would time out behind each other, and be
+// TestOrdersUnderWayFitTheLink: on a small link, calls would time out behind each other and be
 // sent again.
 func TestOrdersUnderWayFitTheLink(t *testing.T) {
 	for _, x := range []struct {
@@ -46,8 +46,8 @@
 	}
 }
 
-// TestListPause: lists of many workers are read less often on a small link, but
-// often enough for workers that drain.
+// TestListPause: a list of many workers is read less often on a small link, but often
+// enough for workers that drain.
 func TestListPause(t *testing.T) {
 	for _, x := range []struct {
 		link    float64
@@ -69,8 +69,8 @@
 	}
 }
 
-// TestLongLoadIsNoFreeze: an owner that takes a second to read its state runs all the while, and
-// sends its first orders at once; one that does not run for as long is suspended.
+// TestLongLoadIsNoFreeze: an owner that reads its state for a second was running all the while, and
+// sends its first orders at once; one that did not run for as long counts as suspended.
 func TestLongLoadIsNoFreeze(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
@@ -78,7 +78,7 @@
 		o.running.Go(o.aliveLoop)
 		time.Sleep(time.Second) // the state is read
 		if !o.mayAct(ctx) || o.suspended {
-			t.Error("suspended after a long read of its state")
+			t.Error("counts as suspended after a long read of its state")
 		}
 		stop()
 		o.running.Wait()
--- a/node/storerelay_test.go
+++ b/node/storerelay_test.go
@@ -21,18 +21,18 @@
 	"leverstile.dev/standin"
 )
 
-// silencedStore answers nothing while it is silent. If late is set, writes take effect all
-// the same.
+// silencedStore answers nothing while silent is set. If late is set, writes take effect
+// nevertheless.
 type silencedStore struct {
 	*countedStore
 	silent, late atomic.Bool
-	// muted is how many more renewals get no answer.
+	// unansweredRenewals is how many of the next renewals get no answer.
 	muted atomic.Int32
 	// refusing is set while writes are refused at once.
 	refusing atomic.Bool
 }
 
-// patience is how long the client of the store waits for an answer.
+// clientTimeout is how long the client of the store waits for an answer.
 const patience = 1500 * time.Millisecond
 
 func (s *silencedStore) wait(ctx context.Context) error {
@@ -63,11 +63,11 @@
 	return kv.TxnResult{}, s.wait(ctx)
 }
 
-// handlers makes calls to entries by their addresses, without a network. One without a handler
-// is gone; answers of unheard are lost.
+// handlers routes calls to entries by their addresses, without a network. An address without a
+// handler refuses connections; answers of lostAnswers are lost.
 type handlers map[string]http.Handler
 
-// unheard is an entry whose answers are lost.
+// lostAnswers is the address of an entry whose answers are lost.
 const unheard = "unheard"
 
 func (h handlers) RoundTrip(req *http.Request) (*http.Response, error) {
@@ -83,7 +83,7 @@
 	return rec.Result(), nil
 }
 
-// relayCell is an owner that another entry has told of a job.
+// relayCell is an owner with one other entry in its list of relays.
 type relayCell struct {
 	store *silencedStore
 	owner *owner
@@ -122,40 +122,37 @@
 	return n
 }
 
-// TestOwnerKeepsItsLeaseThroughOthers: an owner that the store alone does not answer stays
-// the owner, for as long as what it knows is new enough.
-//
-// Users would see some seconds in which nothing is started, and leases that lapse if the next
-// owner is slow: it reads all state and asks every worker.
+// TestOwnerKeepsItsLeaseThroughRelays guards against a takeover when the store fails to answer the
+// owner alone: for seconds nothing would be started, and leases would expire if the next owner is
+// slow, since it reads all state and polls every worker. An owner whose state is out of date is
+// replaced all the same.
 func TestOwnerKeepsItsLeaseThroughOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newRelayCell(t)
 		c.owner.running.Go(c.owner.renewLoop)
 		time.Sleep(time.Second)
 		c.store.silent.Store(true)
-		hear := func() {
+		addRelay := func() {
 			time.Sleep(100 * time.Millisecond)
 			c.owner.node.relays.heard("other", c.owner.node.clock())
 		}
-		for until := time.Now().Add(relayFor - time.Second); time.Now().Before(until); hear() {
+		for until := time.Now().Add(relayFor - time.Second); time.Now().Before(until); addRelay() {
 			if _, held := c.store.lead(); !held {
-				t.Fatal("the lease has lapsed")
+				t.Fatal("the lease has expired")
 			}
 		}
-		for until := time.Now().Add(ownerTTL + 3*time.Second); time.Now().Before(until); hear() {
+		for until := time.Now().Add(ownerTTL + 3*time.Second); time.Now().Before(until); addRelay() {
 		}
 		if _, held := c.store.lead(); held {
-			t.Error("an owner that has read nothing for long is not replaced")
+			t.Error("an owner that the store has not answered for long is not replaced")
 		}
 		c.stop()
 		c.owner.running.Wait()
 	})
 }
 
-// TestOwnerKeepsItsLeaseOverSilentConnections: the owner stays the owner while two renewals in
-// a row meet a connection that has fallen silent, and no other entry can be asked.
-//
-// Users would see a takeover after each break of the network that closes no connection.
+// TestOwnerKeepsItsLeaseOverSilentConnections guards against a takeover after each network break
+// that closes no connection: two renewals in a row get no answer, and no other entry can be asked.
 func TestOwnerKeepsItsLeaseOverSilentConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newRelayCell(t)
@@ -165,7 +162,7 @@
 		c.store.muted.Store(2)
 		for range 50 {
 			if _, held := c.store.lead(); !held {
-				t.Fatal("the lease has lapsed")
+				t.Fatal("the lease has expired")
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
@@ -174,8 +171,8 @@
 	})
 }
 
-// TestOwnerWritesThroughOthers: what the store does not take from the owner, another entry
-// writes; a write that may have been carried out twice, and is refused, counts as unsure.
+// TestOwnerWritesThroughRelays: another entry makes the writes that the store does not answer; the
+// outcome of a write that may have been made twice, and is refused, is unknown.
 func TestOwnerWritesThroughOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newRelayCell(t)
@@ -186,7 +183,7 @@
 		}
 		c.store.late.Store(true)
 		if c.owner.write(t.Context(), ops) || !c.owner.unsure {
-			t.Error("a write that the store took, without an answer, counts as sure")
+			t.Error("a write that the store carried out without an answer counts as known")
 		}
 		c.store.late.Store(false)
 		if !c.owner.write(t.Context(), ops) || c.owner.unsure {
@@ -197,8 +194,8 @@
 	})
 }
 
-// TestWhoIsAskedToMakeACall: entries that were heard of lately, the newest first, another one after
-// one that does not help; at once where the store counts as down or refuses the call.
+// TestChoiceOfRelay: recently added entries are asked, the newest first, and the next one if an
+// entry does not help; at once if the store counts as down or refuses the call.
 func TestWhoIsAskedToMakeACall(t *testing.T) {
 	down := func(c *relayCell) {
 		c.store.silent.Store(true)
@@ -244,27 +241,25 @@
 	}
 }
 
-// TestRefusedWritesThatAnotherEntryMayHaveMade: the store refuses the owner, and the entry that was
-// asked does not answer: the write may have been carried out, and the record is unsure.
+// TestRefusedWritesThatAnotherEntryMayHaveMade: the store refuses the owner, and the relay does not
+// answer: the write may have been carried out, so its outcome is unknown.
 func TestRefusedWritesThatAnotherEntryMayHaveMade(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newRelayCell(t)
 		c.owner.node.relays.drop("other")
 		c.owner.node.relays.heard(unheard, c.owner.node.clock())
 		c.store.refusing.Store(true)
-		_, twice, err := c.owner.do(t.Context(), kv.Txn{Then: []kv.Op{kv.Put("k", []byte("1"), 0)}})
-		if !twice || errors.Is(err, kv.ErrNotDone) || !errors.Is(err, kv.ErrUnavailable) {
-			t.Errorf("a write that was carried out: twice %v, %v", twice, err)
+		_, mayBeRelayed, err := c.owner.do(t.Context(), kv.Txn{Then: []kv.Op{kv.Put("k", []byte("1"), 0)}})
+		if !mayBeRelayed || errors.Is(err, kv.ErrNotDone) || !errors.Is(err, kv.ErrUnavailable) {
+			t.Errorf("a write that was carried out: mayBeRelayed %v, %v", mayBeRelayed, err)
 		}
 		c.stop()
 	})
 }
 
-// TestOwnerRecordsForCustomersThroughOthers: what entries that the store does not answer hand to the
-// owner is recorded while the store does not answer the owner either, and the owner knows of it.
-//
-// Users would see jobs refused for as long as the outage of a part of the entries lasts, although
-// other entries reach the store.
+// TestOwnerRecordsForCustomersThroughRelays guards against jobs that are refused while the store
+// answers neither their entry nor the owner, although other entries reach it: the owner has another
+// entry record them, and processes them itself.
 func TestOwnerRecordsForCustomersThroughOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newRelayCell(t)
@@ -316,7 +311,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		got := submit(id) // its customer may ask again
+		got := submit(id) // its customer may submit it again
 		if again, err := c.store.countedStore.Get(t.Context(), jobPrefix+id); err != nil || got != jobsv1.Recorded_RECORDED_YES || again.ModRevision != first.ModRevision {
 			t.Errorf("a job that is there was recorded: %v, written anew at %d, %v", got, again.ModRevision, err)
 		}
@@ -355,7 +350,7 @@
 	})
 }
 
-// TestNobodyHelpsWhereTheStoreIsDown: an entry that the store does not answer either refuses
+// TestRelayRefusesWhenTheStoreIsDown: an entry that the store does not answer either refuses
 // at once.
 func TestNobodyHelpsWhereTheStoreIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/node/upkeep_test.go
+++ b/node/upkeep_test.go
@@ -13,8 +13,8 @@
 	"leverstile.dev/platform/wiretest"
 )
 
-// cloud is a stand-in that takes orders for VMs: the worker of a VM goes and
-// another comes a little later.
+// cloud is a stand-in for the platform's VM API: on an order the worker of a VM goes, and
+// another one appears a little later.
 type cloud struct {
 	*httptest.Server
 	c *cell
@@ -59,7 +59,7 @@
 	}
 }
 
-// begin carries an order out, once for a VM.
+// begin carries out an order, once for each VM.
 func (s *cloud) begin(vm string) {
 	s.orders[vm]++
 	if s.orders[vm] > 1 && vm != "m-i-1" || s.orders[vm] > 2 {
@@ -77,8 +77,8 @@
 	})
 }
 
-// A wave goes through one VM at a time, over lost answers, a VM that is not up
-// at first and one that does not exist; the operators are told.
+// A maintenance wave takes down one VM at a time, despite lost answers, a VM that is refused
+// at first and one that does not exist; the operators' status shows its end.
 func TestWaveOfUpkeep(t *testing.T) {
 	c := newCell(t, 0, 3)
 	s := newCloud(c)
