--- a/node/admit.go
+++ b/node/admit.go
@@ -48,7 +48,7 @@
 	if n.current.Load() != nil {
 		return true // it costs no call
 	}
-	return spec.Lasting() || int64(n.clock()) < n.crowdedUntil.Load()
+	return spec.LongRunning() || int64(n.clock()) < n.crowdedUntil.Load()
 }
 
 // recordCrowded records whether short jobs wait at the owner.
--- a/node/evacuations_test.go
+++ b/node/evacuations_test.go
@@ -19,7 +19,7 @@
 	c = newCell(t, 0, 0)
 	for i := range each {
 		for zone, list := range map[string]*[]*wiretest.Worker{"b": &inB, "c": &inC} {
-			w := wiretest.NewWorkerIn(c.store, zone, fmt.Sprintf("i-%s-%d", zone, i), "svc", 30*time.Millisecond)
+			w := wiretest.NewWorkerInZone(c.store, zone, fmt.Sprintf("i-%s-%d", zone, i), "svc", 30*time.Millisecond)
 			w.OnRun(c.note)
 			*list = append(*list, w)
 			c.workers = append(c.workers, w)
--- a/node/store.go
+++ b/node/store.go
@@ -31,7 +31,7 @@
 
 // Workers sends requests to workers.
 type Workers interface {
-	Hold(ctx context.Context, h dispatch.PollRequest) (dispatch.PollReply, dispatch.Outcome)
+	Poll(ctx context.Context, h dispatch.PollRequest) (dispatch.PollReply, dispatch.Outcome)
 	Send(ctx context.Context, o dispatch.Order) dispatch.Answer
 	// Abort cancels the calls under way.
 	Abort()
@@ -44,7 +44,7 @@
 
 // VMs sends requests for VMs to the platform.
 type VMs interface {
-	BeginUpkeep(ctx context.Context, o dispatch.MaintenanceOrder) dispatch.MaintenanceOutcome
+	StartMaintenance(ctx context.Context, o dispatch.MaintenanceOrder) dispatch.MaintenanceOutcome
 }
 
 // Ports are the interfaces to the platform that a node uses.
--- a/node/upkeep.go
+++ b/node/upkeep.go
@@ -85,7 +85,7 @@
 func (o *owner) beginUpkeep(order dispatch.MaintenanceOrder) {
 	outcome := dispatch.MaintenanceUnknown
 	if o.node.vms != nil && o.mayAct(o.ctx) {
-		outcome = o.node.vms.BeginUpkeep(o.ctx, order)
+		outcome = o.node.vms.StartMaintenance(o.ctx, order)
 	}
 	if o.ctx.Err() != nil {
 		return
--- a/node/upkeep_test.go
+++ b/node/upkeep_test.go
@@ -73,7 +73,7 @@
 		s.mu.Lock()
 		s.down--
 		s.mu.Unlock()
-		wiretest.NewWorkerOf(s.c.store, vm, id+"-next", "svc", 30*time.Millisecond)
+		wiretest.NewWorkerOnVM(s.c.store, vm, id+"-next", "svc", 30*time.Millisecond)
 	})
 }
 
