--- a/node/admit.go
+++ b/node/admit.go
@@ -26,7 +26,7 @@
 // that the store holds, or may hold, is never refused: the customer would take the
 // refusal to mean that the job will not run.
 func (n *Node) admit(ctx context.Context, spec *job.Spec, record []byte) (Submission, bool) {
-	if !n.mustAsk(spec) {
+	if !n.needsAdmission(spec) {
 		return Submission{}, false
 	}
 	a := n.askAdmission(ctx, spec, record)
@@ -39,12 +39,12 @@
 	}
 	n.metrics.notAdmitted.Inc()
 	n.log.Info().Str("event", "job_refused").Str("job", spec.ID).Str("reason", a.Reason).Dur("retry_after", a.RetryAfter).Msg("")
-	return Submission{Recorded: RecordedNoRoom, RetryAfter: a.RetryAfter}, true
+	return Submission{Recorded: RecordedNoCapacity, RetryAfter: a.RetryAfter}, true
 }
 
 // needsAdmission reports whether a job needs the owner's admission. Long-running jobs do:
 // they are few and occupy their capacity for long. Short jobs do only while some wait.
-func (n *Node) mustAsk(spec *job.Spec) bool {
+func (n *Node) needsAdmission(spec *job.Spec) bool {
 	if n.current.Load() != nil {
 		return true // it costs no call
 	}
@@ -52,7 +52,7 @@
 }
 
 // recordCrowded records whether short jobs wait at the owner.
-func (n *Node) noteCrowded(crowded bool) {
+func (n *Node) recordCrowded(crowded bool) {
 	if crowded {
 		n.crowdedUntil.Store(int64(n.clock() + crowdedFor))
 	}
--- a/node/admit_test.go
+++ b/node/admit_test.go
@@ -13,7 +13,7 @@
 // TestLongRunningJobWithoutCapacityIsRefusedUnrecorded: a long-running job that finds no capacity
 // beside what short tasks need is refused at once, at any entry, with a time to retry, and the
 // store holds no record of it.
-func TestLastingJobWithoutRoomIsRefusedUnrecorded(t *testing.T) {
+func TestLongRunningJobWithoutCapacityIsRefusedUnrecorded(t *testing.T) {
 	c := newCell(t, 2, 0)
 	const workers, work = 8, time.Minute
 	for i := range workers {
--- a/node/config.go
+++ b/node/config.go
@@ -7,10 +7,10 @@
 
 // applyConfig puts a version of the configuration into force unless a newer one is. One
 // that can't be read changes nothing.
-func (n *Node) putConfig(p kv.Pair) {
+func (n *Node) applyConfig(p kv.Pair) {
 	c, err := n.opts.DecodeConfig(p.Value)
 	if err != nil {
-		n.noteUnreadable("config_unreadable", p.Key, p.ModRevision, err)
+		n.logUnreadable("config_unreadable", p.Key, p.ModRevision, err)
 		return
 	}
 	before := n.config.Load()
--- a/node/foreign_test.go
+++ b/node/damagedrecords_test.go
@@ -13,14 +13,14 @@
 
 // Damaged or unknown entries in the list of workers, written by others, hide no worker, and
 // the owner calls no address of an undeclared service.
-func TestForeignEntriesHideNoWorker(t *testing.T) {
+func TestInvalidEntriesHideNoWorker(t *testing.T) {
 	c := newCell(t, 0, 2)
 	for i, value := range []string{"null", "[1", "\xff", `{"service":7}`, `{"service":"svc","state":"parked","zone":"a","address":"127.0.0.1:1","capacity":{"cpu":1}}`} {
 		c.store.Put(fmt.Sprintf("servers/i-bad-%d", i), []byte(value))
 	}
 	c.store.Put("servers/i-other", fmt.Appendf(nil, `{"service":"other","state":"ready","zone":"a","address":"%s","capacity":{"cpu":1000}}`, c.store.Address()))
 	c.nodes = append(c.nodes, c.startNode("entry-0"))
-	c.play(1, 5)
+	c.runJobs(1, 5)
 	c.checkRuns()
 }
 
@@ -71,7 +71,7 @@
 // estimates are damaged, the next owner goes on with all other jobs and starts nothing again.
 func TestDamagedRecordsBlockNothing(t *testing.T) {
 	c := newCell(t, 1, 2)
-	c.play(1, 4)
+	c.runJobs(1, 4)
 	c.await("the stored progress", func() bool {
 		_, ok := c.store.Value("ls/progress/" + id(3))
 		return ok
@@ -88,11 +88,11 @@
 	c.store.Put("ls/own/lead", []byte("nobody"))
 	before := startsAt(c.workers)
 	c.nodes = append(c.nodes, c.startNode("entry-next"))
-	c.play(10, 12)
+	c.runJobs(10, 12)
 	c.store.Compact() // all jobs are read again, and the damaged ones seem to be new
-	c.play(20, 22)
+	c.runJobs(20, 22)
 	time.Sleep(2 * time.Second) // a watch under way ends within 1.5 s
-	c.play(30, 32)
+	c.runJobs(30, 32)
 	if n := startsAt(c.workers) - before; n != 36 {
 		t.Errorf("%d starts for 36 new tasks: something was started again", n)
 	}
--- a/node/evacuations.go
+++ b/node/evacuations.go
@@ -35,10 +35,10 @@
 // maxLifted bounds the data centres that are remembered after their evacuation was
 // lifted, in case a writer uses random names: some ten times as many as the largest
 // deployment has.
-const mostReturned = 340
+const maxLifted = 340
 
 // update applies updates and returns those that changed whether a data centre is evacuated.
-func (l *evacuationList) note(updates []evacuation) []evacuation {
+func (l *evacuationList) update(updates []evacuation) []evacuation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.known == nil {
@@ -50,7 +50,7 @@
 		if e.revision <= before.revision {
 			continue
 		}
-		if !known && len(l.known) >= mostReturned {
+		if !known && len(l.known) >= maxLifted {
 			maps.DeleteFunc(l.known, func(_ string, e evacuation) bool { return !e.evacuated })
 		}
 		l.known[e.dataCentre] = e
@@ -77,7 +77,7 @@
 
 // lifted returns the evacuations that are lifted according to a full read at a revision:
 // those of the data centres that it does not name.
-func (l *evacuationList) takenBack(named map[string]bool, revision int64) []evacuation {
+func (l *evacuationList) lifted(named map[string]bool, revision int64) []evacuation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var list []evacuation
@@ -99,7 +99,7 @@
 			list = append(list, evacuation{dc, p.ModRevision, true})
 		}
 	}
-	return append(list, n.evacuations.takenBack(named, revision)...)
+	return append(list, n.evacuations.lifted(named, revision)...)
 }
 
 // evacuationsOf returns the updates in changes of the operators' keys.
@@ -125,8 +125,8 @@
 
 // updateEvacuations applies updates that were read or received, and passes the changes
 // to the core, or to the owner.
-func (n *Node) noteEvacuations(updates []evacuation) {
-	fresh := n.evacuations.note(updates)
+func (n *Node) updateEvacuations(updates []evacuation) {
+	fresh := n.evacuations.update(updates)
 	if len(fresh) == 0 {
 		return
 	}
@@ -134,7 +134,7 @@
 		n.log.Info().Str("event", "evacuation_seen").Str("data_centre", e.dataCentre).Bool("evacuated", e.evacuated).Int64("revision", e.revision).Msg("")
 	}
 	if o := n.current.Load(); o != nil {
-		o.locked(o.takeEvacuations)
+		o.locked(o.applyEvacuations)
 		signal(o.wake)
 		return
 	}
@@ -142,7 +142,7 @@
 }
 
 // applyEvacuations passes the evacuated data centres to the core.
-func (o *owner) takeEvacuations(core *dispatch.Core, _ dispatch.Instant) {
+func (o *owner) applyEvacuations(core *dispatch.Core, _ dispatch.Instant) {
 	core.SetEvacuated(o.node.evacuations.evacuated())
 }
 
@@ -153,7 +153,7 @@
 	for _, e := range updates {
 		req.Evacuations = append(req.Evacuations, &jobsv1.Evacuation{DataCentre: e.dataCentre, Revision: e.revision, Evacuated: e.evacuated})
 	}
-	n.tellOwner("evacuations", func(ctx context.Context, client jobsv1connect.OwnerClient) error {
+	n.notifyOwner("evacuations", func(ctx context.Context, client jobsv1connect.OwnerClient) error {
 		_, err := client.NoteEvacuations(ctx, connect.NewRequest(req))
 		return err
 	})
@@ -165,13 +165,13 @@
 	for _, e := range req.Msg.GetEvacuations() {
 		updates = append(updates, evacuation{e.GetDataCentre(), e.GetRevision(), e.GetEvacuated()})
 	}
-	p.node.takeRelayed(updates)
+	p.node.applyRelayedEvacuations(updates)
 	return connect.NewResponse(&jobsv1.NoteEvacuationsResponse{}), nil
 }
 
 // applyRelayedEvacuations applies updates of another entry. They are not relayed further.
-func (n *Node) takeRelayed(updates []evacuation) {
+func (n *Node) applyRelayedEvacuations(updates []evacuation) {
 	if n.current.Load() != nil {
-		n.noteEvacuations(updates)
+		n.updateEvacuations(updates)
 	}
 }
--- a/node/evacuations_test.go
+++ b/node/evacuations_test.go
@@ -15,7 +15,7 @@
 )
 
 // zoned returns a cell with the same number of workers in zones b and c.
-func zoned(t *testing.T, nodes, each int) (c *cell, inB, inC []*wiretest.Worker) {
+func newZonedCell(t *testing.T, nodes, each int) (c *cell, inB, inC []*wiretest.Worker) {
 	c = newCell(t, 0, 0)
 	for i := range each {
 		for zone, list := range map[string]*[]*wiretest.Worker{"b": &inB, "c": &inC} {
@@ -42,7 +42,7 @@
 }
 
 // play submits jobs and waits for their success.
-func (c *cell) play(from, to int) {
+func (c *cell) runJobs(from, to int) {
 	for i := from; i < to; i++ {
 		c.submit(i%len(c.nodes), id(i), twoSteps)
 	}
@@ -53,7 +53,7 @@
 
 // awaitNoStarts submits jobs until none of them starts at the workers; it returns the
 // number of starts at them.
-func (c *cell) heeded(workers []*wiretest.Worker, next *int) int {
+func (c *cell) awaitNoStarts(workers []*wiretest.Worker, next *int) int {
 	before := -1
 	c.await("an end of starts", func() bool {
 		n := startsAt(workers)
@@ -61,7 +61,7 @@
 			return true
 		}
 		before = n
-		c.play(*next, *next+6)
+		c.runJobs(*next, *next+6)
 		*next += 6
 		return false
 	})
@@ -71,27 +71,27 @@
 // An evacuated data centre gets no tasks until its evacuation is lifted, also under the next
 // owner, with an unreadable value of the key, and after the store compacted its history.
 func TestEvacuatedDataCentreGetsNothing(t *testing.T) {
-	c, inB, inC := zoned(t, 2, 2)
+	c, inB, inC := newZonedCell(t, 2, 2)
 	next := 1
-	c.play(next, next+6)
+	c.runJobs(next, next+6)
 	next += 6
 	if startsAt(inB) == 0 || startsAt(inC) == 0 {
 		t.Fatal("not all workers are used")
 	}
 	c.store.Put("op/evacuate/b", []byte("\xff{"))
 	c.store.Compact()
-	before := c.heeded(inB, &next)
+	before := c.awaitNoStarts(inB, &next)
 	owner := c.owner()
 	c.nodes[owner].close()
 	c.nodes[owner] = c.startNode("entry-next")
-	c.play(next, next+12)
+	c.runJobs(next, next+12)
 	next += 12
 	if n := startsAt(inB); n != before {
 		t.Errorf("%d starts after the change of owners", n-before)
 	}
 	c.store.Delete("op/evacuate/b")
 	c.await("starts after the evacuation", func() bool {
-		c.play(next, next+6)
+		c.runJobs(next, next+6)
 		next += 6
 		return startsAt(inB) > before
 	})
@@ -152,8 +152,8 @@
 
 // An owner whose own reads of the operators' keys fail receives an evacuation from the
 // other entries.
-func TestOwnerHearsOfEvacuationsFromEntries(t *testing.T) {
-	c, inB, _ := zoned(t, 0, 2)
+func TestOwnerReceivesEvacuationsFromEntries(t *testing.T) {
+	c, inB, _ := newZonedCell(t, 0, 2)
 	stores := map[string]*blindStore{}
 	c.wrap = func(name string, s node.Store) node.Store {
 		b := &blindStore{Store: s.(*platform.Store)}
@@ -164,12 +164,12 @@
 	c.owner()
 	c.nodes = append(c.nodes, c.startNode("entry-1"), c.startNode("entry-2"))
 	next := 1
-	c.play(next, next+6)
+	c.runJobs(next, next+6)
 	next += 6
 	stores["entry-0"].set(true)
 	c.store.Put("op/evacuate/b", []byte("{}"))
-	before := c.heeded(inB, &next)
-	c.play(next, next+12)
+	before := c.awaitNoStarts(inB, &next)
+	c.runJobs(next, next+12)
 	if n := startsAt(inB); n != before {
 		t.Errorf("%d starts after the evacuation took effect", n-before)
 	}
--- a/node/follow_test.go
+++ b/node/follow_test.go
@@ -9,8 +9,8 @@
 	"leverstile.dev/platform/wiretest"
 )
 
-// configApplied is the time within which a new version of the configuration is in force everywhere.
-const configApplied = 2 * time.Second
+// configDelay is the time within which a new version of the configuration is in force everywhere.
+const configDelay = 2 * time.Second
 
 // TestOwnerFollowsTheConfiguration: a queue moves to the workers of another service with a new version.
 func TestOwnerFollowsTheConfiguration(t *testing.T) {
@@ -24,7 +24,7 @@
 	config = strings.Replace(config, `"services":[`, `"services":[{"name":"other","admission_check":true},`, 1)
 	c.store.Put("op/config", []byte(config))
 	c.await("version 2", func() bool { return c.nodes[0].node.Config().Version == 2 })
-	time.Sleep(configApplied)
+	time.Sleep(configDelay)
 	c.submit(0, id(2), twoSteps)
 	c.awaitState(0, id(2), "succeeded")
 	for task := range c.workers[0].Starts() {
@@ -61,8 +61,8 @@
 	c.awaitState(0, id(3), "cancelled")
 }
 
-// drainHeeded is the time after which no more tasks are started at a draining worker.
-const drainHeeded = 2 * time.Second
+// drainDelay is the time after which no more tasks are started at a draining worker.
+const drainDelay = 2 * time.Second
 
 // TestDrainingWorkerGetsNothing: no task is started at a worker after its drain is known.
 func TestDrainingWorkerGetsNothing(t *testing.T) {
@@ -77,7 +77,7 @@
 	submit()
 	leaving := c.workers[0]
 	leaving.Drain(30 * time.Second)
-	time.Sleep(drainHeeded)
+	time.Sleep(drainDelay)
 	before := len(leaving.Records())
 	submit()
 	for i := range next {
--- a/node/hint.go
+++ b/node/hint.go
@@ -18,9 +18,9 @@
 	// hintMaxAge is how old a job may be for its hint to count: far less than the time for
 	// which records are kept, so that no job that ended long ago is taken for a new one.
 	// The clocks of two VMs may be some seconds apart.
-	hintAge = 20 * time.Second
+	hintMaxAge = 20 * time.Second
 	// maxHints bounds the hints under way; further ones are dropped.
-	mostHints = 64
+	maxHints = 64
 )
 
 // hintOwner reports a new record of this entry to the owner. The owner's watch reports
@@ -28,13 +28,13 @@
 // lost costs nothing else.
 func (n *Node) hintOwner(id string, record []byte) {
 	if o := n.current.Load(); o != nil {
-		o.takeHint(id, record)
+		o.processHint(id, record)
 		return
 	}
-	n.tellOwner(id, func(ctx context.Context, client jobsv1connect.OwnerClient) error {
+	n.notifyOwner(id, func(ctx context.Context, client jobsv1connect.OwnerClient) error {
 		resp, err := client.NoteIntake(ctx, connect.NewRequest(&jobsv1.NoteIntakeRequest{Id: id, Record: record, Address: n.opts.PeerAddress}))
 		if err == nil {
-			n.noteCrowded(resp.Msg.GetCrowded())
+			n.recordCrowded(resp.Msg.GetCrowded())
 		}
 		return err
 	})
@@ -42,7 +42,7 @@
 
 // notifyOwner calls the owner in the background, if an owner is known and fewer than
 // maxHints calls are under way.
-func (n *Node) tellOwner(what string, call func(context.Context, jobsv1connect.OwnerClient) error) {
+func (n *Node) notifyOwner(what string, call func(context.Context, jobsv1connect.OwnerClient) error) {
 	client := n.ownerClient()
 	if client == nil {
 		return
@@ -50,12 +50,12 @@
 	select {
 	case n.hints <- struct{}{}:
 	default:
-		n.log.Warn().Str("event", "hint_dropped").Str("job", what).Int("under_way", mostHints).Msg("")
+		n.log.Warn().Str("event", "hint_dropped").Str("job", what).Int("under_way", maxHints).Msg("")
 		return
 	}
 	go func() {
 		defer func() { <-n.hints }()
-		ctx, cancel := context.WithTimeout(context.Background(), peerAskTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), peerCallTimeout)
 		defer cancel()
 		if err := call(ctx, client); err != nil {
 			n.log.Warn().Str("event", "hint_unanswered").Str("job", what).Err(err).Msg("")
@@ -69,15 +69,15 @@
 	if o == nil {
 		return connect.NewResponse(&jobsv1.NoteIntakeResponse{}), nil
 	}
-	p.node.relays.heard(req.Msg.GetAddress(), p.node.clock())
-	o.takeHint(req.Msg.GetId(), req.Msg.GetRecord())
+	p.node.relays.add(req.Msg.GetAddress(), p.node.clock())
+	o.processHint(req.Msg.GetId(), req.Msg.GetRecord())
 	return connect.NewResponse(&jobsv1.NoteIntakeResponse{Crowded: o.crowded()}), nil
 }
 
 // processHint processes a job, or a cancellation if there is no record.
-func (o *owner) takeHint(id string, record []byte) {
+func (o *owner) processHint(id string, record []byte) {
 	if len(record) == 0 {
-		o.takeIn([]kv.Event{{Pair: kv.Pair{Key: cancelPrefix + id}}})
+		o.processIntake([]kv.Event{{Pair: kv.Pair{Key: cancelPrefix + id}}})
 		return
 	}
 	spec, err := decodeSpec(kv.Pair{Key: jobPrefix + id, Value: record})
@@ -89,9 +89,9 @@
 		o.node.log.Warn().Str("event", "hint_too_old").Str("job", id).Int64("accepted_ms", spec.AcceptedMS).Msg("")
 		return
 	}
-	o.takeIn([]kv.Event{{Pair: kv.Pair{Key: jobPrefix + id, Value: record}}})
+	o.processIntake([]kv.Event{{Pair: kv.Pair{Key: jobPrefix + id, Value: record}}})
 }
 
 func freshHint(spec *job.Spec, now dispatch.Instant) bool {
-	return now.UnixMS-spec.AcceptedMS < hintAge.Milliseconds()
+	return now.UnixMS-spec.AcceptedMS < hintMaxAge.Milliseconds()
 }
--- a/node/hint_test.go
+++ b/node/hint_test.go
@@ -17,7 +17,7 @@
 
 // While the store refuses watches, the owner receives jobs and cancellations by hints
 // from the entries that recorded them.
-func TestOwnerHearsOfJobsWithoutItsWatch(t *testing.T) {
+func TestOwnerReceivesJobsWithoutItsWatch(t *testing.T) {
 	c := newCell(t, 2, 1)
 	c.submit(0, id(1), twoSteps)
 	c.awaitState(1, id(1), "succeeded") // there is an owner, and both entries have its address
--- a/node/intake.go
+++ b/node/intake.go
@@ -28,14 +28,14 @@
 	RecordedNotFound
 	// RecordedNoCapacity: the owner expects no capacity for the job in time; nothing was
 	// sent to the store.
-	RecordedNoRoom
+	RecordedNoCapacity
 )
 
 // Limits of customers' writes.
 const (
 	// writeTryTimeout bounds one try, writeBudget all of them: a customer waits 3 s.
-	writeTry    = 600 * time.Millisecond
-	writeBudget = 2200 * time.Millisecond
+	writeTryTimeout = 600 * time.Millisecond
+	writeBudget     = 2200 * time.Millisecond
 	// refusedBudget bounds the tries of a write that was refused each time.
 	refusedBudget = 500 * time.Millisecond
 	writeRetryMin = 20 * time.Millisecond
@@ -76,7 +76,7 @@
 func (n *Node) submitRecord(ctx context.Context, id string, value []byte) Recorded {
 	if n.store.Down() {
 		if o := n.current.Load(); o != nil {
-			return o.recordThroughOthers(ctx, jobPrefix+id, id, value)
+			return o.recordViaRelay(ctx, jobPrefix+id, id, value)
 		}
 		return n.relaySubmit(ctx, id, value)
 	}
@@ -104,7 +104,7 @@
 	wait := backoff{least: writeRetryMin, most: writeRetryMax}
 	maybeDone := false
 	for {
-		tctx, cancel := context.WithTimeout(ctx, min(writeTry, writeBudget-(n.clock()-began)))
+		tctx, cancel := context.WithTimeout(ctx, min(writeTryTimeout, writeBudget-(n.clock()-began)))
 		res, err := n.store.Do(tctx, kv.Txn{
 			If:   []kv.Compare{{Key: key, Missing: true}},
 			Then: []kv.Op{kv.Put(key, value, 0)},
@@ -138,7 +138,7 @@
 func (n *Node) cancelRecord(ctx context.Context, id string) Recorded {
 	if n.store.Down() {
 		if o := n.current.Load(); o != nil {
-			return o.cancelThroughOthers(ctx, id)
+			return o.cancelViaRelay(ctx, id)
 		}
 		return n.relayCancel(ctx, id)
 	}
@@ -171,7 +171,7 @@
 	if p != nil {
 		progress, err := dispatch.DecodeProgress(p.Value)
 		if err != nil {
-			n.noteUnreadable("progress_unreadable", p.Key, p.ModRevision, err)
+			n.logUnreadable("progress_unreadable", p.Key, p.ModRevision, err)
 			return job.Status{}, false, errors.Trace(err)
 		}
 		return job.Status{State: progress.State, Reason: progress.Reason}, true, nil
@@ -197,7 +197,7 @@
 }
 
 // pendingMaxAge is how old a count of pending jobs may be; customers allow 2 s.
-const pendingAge = 300 * time.Millisecond
+const pendingMaxAge = 300 * time.Millisecond
 
 // pendingCache caches counts of pending jobs for pendingMaxAge. Its lock guards counts.
 type pendingCache struct {
@@ -216,7 +216,7 @@
 	n.pending.mu.Lock()
 	c, ok := n.pending.counts[queue]
 	n.pending.mu.Unlock()
-	if ok && n.clock()-c.at < pendingAge {
+	if ok && n.clock()-c.at < pendingMaxAge {
 		return c.n, true
 	}
 	count, ok := n.ownerPending(ctx, queue)
--- a/node/feed.go
+++ b/node/intakeloop.go
@@ -44,8 +44,8 @@
 		err := o.node.store.Watch(o.ctx, intakePrefix, rev, func(at int64, events []kv.Event) {
 			rev = at
 			wait.reset()
-			o.takeIn(events)
-			o.intakeTaken(rev)
+			o.processIntake(events)
+			o.recordIntakeRevision(rev)
 		})
 		if o.ctx.Err() != nil {
 			return
@@ -66,20 +66,20 @@
 			events[i].Pair = pairs[i]
 		}
 		rev = at
-		o.takeIn(events)
-		o.intakeTaken(rev)
+		o.processIntake(events)
+		o.recordIntakeRevision(rev)
 	}
 }
 
 // recordIntakeRevision tells the core up to which revision it has received all jobs.
-func (o *owner) intakeTaken(rev int64) {
+func (o *owner) recordIntakeRevision(rev int64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.core.IntakeProcessed(rev)
 }
 
 // processIntake adds recorded jobs to the core, then applies cancellations.
-func (o *owner) takeIn(events []kv.Event) {
+func (o *owner) processIntake(events []kv.Event) {
 	if len(events) == 0 {
 		return
 	}
@@ -91,7 +91,7 @@
 			if strings.HasPrefix(ev.Pair.Key, jobPrefix) {
 				spec, err := decodeSpec(ev.Pair)
 				if err != nil {
-					o.node.noteUnreadable("job_unreadable", ev.Pair.Key, ev.Pair.ModRevision, err)
+					o.node.logUnreadable("job_unreadable", ev.Pair.Key, ev.Pair.ModRevision, err)
 					continue
 				}
 				c.AddRecordedJob(spec, ev.Pair.ModRevision, now)
@@ -112,7 +112,7 @@
 	known := 0
 	for sleep(o.ctx, o.node.listPauseFor(known)) {
 		list, err := o.node.lister.ListWorkers(o.ctx)
-		o.node.store.note(err)
+		o.node.store.record(err)
 		if err != nil {
 			if o.ctx.Err() == nil {
 				o.node.log.Warn().Str("event", "list_failed").Err(err).Msg("")
@@ -120,7 +120,7 @@
 			continue
 		}
 		known = len(list.Workers)
-		o.node.noteUnusable(list.Unusable)
+		o.node.recordUnusable(list.Unusable)
 		config := o.node.config.Load()
 		o.locked(func(c *dispatch.Core, now dispatch.Instant) {
 			c.SetConfig(config)
--- a/node/jobs.go
+++ b/node/jobs.go
@@ -84,7 +84,7 @@
 	if client == nil {
 		return nil, connect.NewError(connect.CodeUnavailable, errNoOwner)
 	}
-	ctx, cancel := context.WithTimeout(ctx, peerAskTimeout)
+	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
 	resp, err := client.ExplainJob(ctx, connect.NewRequest(&jobsv1.ExplainJobRequest{Id: req.Msg.GetId()}))
 	if err != nil {
--- a/node/upkeep.go
+++ b/node/maintenance.go
@@ -40,7 +40,7 @@
 }
 
 // addWave adds a maintenance wave, if the key is that of one.
-func (n *Node) putWave(p kv.Pair) {
+func (n *Node) addWave(p kv.Pair) {
 	if n.opts.DecodeWave == nil {
 		return
 	}
@@ -49,7 +49,7 @@
 		return
 	}
 	if err != nil {
-		n.noteUnreadable("wave_unreadable", p.Key, p.ModRevision, err)
+		n.logUnreadable("wave_unreadable", p.Key, p.ModRevision, err)
 		return
 	}
 	if !n.waves.add(wave) {
@@ -57,13 +57,13 @@
 	}
 	n.log.Info().Str("event", "wave_seen").Int64("wave", wave.Number).Int("vms", len(wave.VMs)).Int("at_once", wave.AtOnce).Dur("allowed", wave.Allowed).Msg("")
 	if o := n.current.Load(); o != nil {
-		o.locked(o.takeWaves)
+		o.locked(o.applyWaves)
 	}
 }
 
 // applyWaves passes the waves that were read so far to the core, with their records in
 // the store at the takeover. Waves that the core has already are not changed.
-func (o *owner) takeWaves(core *dispatch.Core, now dispatch.Instant) {
+func (o *owner) applyWaves(core *dispatch.Core, now dispatch.Instant) {
 	for _, wave := range o.node.waves.all() {
 		if err := core.SetWave(wave, o.waveRecords[waveKey(wave.Number)], now); err != nil {
 			o.node.log.Error().Str("event", "wave_record_unreadable").Int64("wave", wave.Number).Err(err).Msg("")
@@ -72,7 +72,7 @@
 }
 
 // loadWaveRecords keeps the stored records of waves for applyWaves.
-func (o *owner) noteWaveRecords(own []kv.Pair) {
+func (o *owner) loadWaveRecords(own []kv.Pair) {
 	o.waveRecords = map[string][]byte{}
 	for _, p := range own {
 		if strings.HasPrefix(p.Key, wavePrefix) {
@@ -82,7 +82,7 @@
 }
 
 // beginMaintenance makes one maintenance call for a VM and records the outcome.
-func (o *owner) beginUpkeep(order dispatch.MaintenanceOrder) {
+func (o *owner) beginMaintenance(order dispatch.MaintenanceOrder) {
 	outcome := dispatch.MaintenanceUnknown
 	if o.node.vms != nil && o.mayAct(o.ctx) {
 		outcome = o.node.vms.StartMaintenance(o.ctx, order)
--- a/node/upkeep_test.go
+++ b/node/maintenance_test.go
@@ -79,7 +79,7 @@
 
 // A maintenance wave takes down one VM at a time, despite lost answers, a VM that is refused
 // at first and one that does not exist; the operators' status shows its end.
-func TestWaveOfUpkeep(t *testing.T) {
+func TestMaintenanceWave(t *testing.T) {
 	c := newCell(t, 0, 3)
 	s := newCloud(c)
 	defer s.Close()
--- a/node/operators.go
+++ b/node/operators.go
@@ -61,10 +61,10 @@
 		f.wait.reset()
 		for _, ev := range events {
 			if !ev.Deleted {
-				n.putOperators(ev.Pair)
+				n.applyOperatorKey(ev.Pair)
 			}
 		}
-		n.noteEvacuations(n.evacuationsOf(events))
+		n.updateEvacuations(n.evacuationsOf(events))
 	})
 }
 
@@ -75,18 +75,18 @@
 		return err
 	}
 	for _, p := range pairs {
-		n.putOperators(p)
+		n.applyOperatorKey(p)
 	}
-	n.noteEvacuations(n.evacuationsListed(pairs, rev))
+	n.updateEvacuations(n.evacuationsListed(pairs, rev))
 	f.read, f.revision = true, rev
 	return nil
 }
 
 // applyOperatorKey applies a configuration or a maintenance wave.
-func (n *Node) putOperators(p kv.Pair) {
+func (n *Node) applyOperatorKey(p kv.Pair) {
 	if p.Key == n.opts.ConfigKey {
-		n.putConfig(p)
+		n.applyConfig(p)
 		return
 	}
-	n.putWave(p)
+	n.addWave(p)
 }
--- a/node/peers.go
+++ b/node/peers.go
@@ -18,16 +18,16 @@
 // Timeouts of calls between entries, whose network latency is half a millisecond.
 const (
 	peerDialTimeout = 250 * time.Millisecond
-	peerAskTimeout  = 400 * time.Millisecond
+	peerCallTimeout = 400 * time.Millisecond
 	// peerWriteTimeout leaves the receiving entry the time for its own tries of a write.
 	peerWriteTimeout = writeBudget
-	peerIdle         = 60 * time.Second
+	peerIdleTimeout  = 60 * time.Second
 	// peerConnections is the maximum number of idle connections kept to an entry.
 	peerConnections = 4
 )
 
 func newPeerClient() *http.Client {
-	return &http.Client{Transport: dial.NewTransport(peerConnections, peerDialTimeout, peerIdle)}
+	return &http.Client{Transport: dial.NewTransport(peerConnections, peerDialTimeout, peerIdleTimeout)}
 }
 
 // ownerClient returns a client of the owner, nil if this node is the owner or none is known.
@@ -48,7 +48,7 @@
 	if client == nil {
 		return job.Status{}, false
 	}
-	ctx, cancel := context.WithTimeout(ctx, peerAskTimeout)
+	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
 	resp, err := client.GetJob(ctx, connect.NewRequest(&jobsv1.GetJobRequest{Id: id}))
 	if err != nil {
@@ -66,7 +66,7 @@
 	if client == nil {
 		return 0, false
 	}
-	ctx, cancel := context.WithTimeout(ctx, peerAskTimeout)
+	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
 	resp, err := client.CountPending(ctx, connect.NewRequest(&jobsv1.CountPendingRequest{Queue: queue}))
 	if err != nil || !resp.Msg.GetOwner() {
@@ -86,7 +86,7 @@
 	defer cancel()
 	resp, err := client.SubmitJob(ctx, connect.NewRequest(&jobsv1.SubmitJobRequest{Id: id, Record: value}))
 	if err != nil {
-		return relayFailed(err)
+		return failedRelayResult(err)
 	}
 	return fromWire(resp.Msg.GetRecorded())
 }
@@ -100,13 +100,13 @@
 	defer cancel()
 	resp, err := client.CancelJob(ctx, connect.NewRequest(&jobsv1.CancelJobRequest{Id: id}))
 	if err != nil {
-		return relayFailed(err)
+		return failedRelayResult(err)
 	}
 	return fromWire(resp.Msg.GetRecorded())
 }
 
 // failedRelayResult distinguishes a call that was never sent from one without an answer.
-func relayFailed(err error) Recorded {
+func failedRelayResult(err error) Recorded {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return RecordedNo
@@ -117,7 +117,7 @@
 var recordedWire = map[Recorded]jobsv1.Recorded{
 	RecordedYes: jobsv1.Recorded_RECORDED_YES, RecordedNo: jobsv1.Recorded_RECORDED_NO,
 	RecordedUnknown: jobsv1.Recorded_RECORDED_UNKNOWN, RecordedNotFound: jobsv1.Recorded_RECORDED_NOT_FOUND,
-	RecordedNoRoom: jobsv1.Recorded_RECORDED_NO_ROOM,
+	RecordedNoCapacity: jobsv1.Recorded_RECORDED_NO_ROOM,
 }
 
 func fromWire(r jobsv1.Recorded) Recorded {
--- a/node/record.go
+++ b/node/record.go
@@ -125,7 +125,7 @@
 func (o *owner) recordOps(records []dispatch.Record, roster []dispatch.RosterPart, unheard, learnt []byte) []kv.Op {
 	var ops []kv.Op
 	if unheard != nil {
-		ops = append(ops, kv.Put(unheardKey, unheard, 0))
+		ops = append(ops, kv.Put(unreadKey, unheard, 0))
 	}
 	if len(roster) > 0 && !o.rosterMarked {
 		ops = append(ops, kv.Put(rosterKey, []byte(rosterInParts), 0))
--- a/node/relay_test.go
+++ b/node/relay_test.go
@@ -25,12 +25,12 @@
 func cutOffNode(t *testing.T, owner string) *Node {
 	t.Helper()
 	n := &Node{
-		opts: Options{Entry: "entry-0"}, steady: steadyClock(), peers: newPeerClient(), hints: make(chan struct{}, mostHints),
+		opts: Options{Entry: "entry-0"}, steady: steadyClock(), peers: newPeerClient(), hints: make(chan struct{}, maxHints),
 		log: &log.Logger{Writer: log.IOWriter{Writer: t.Output()}},
 	}
 	n.store = &storeHealth{Store: silentStore{}, clock: func() time.Duration { return time.Minute }, changed: n.storeChanged}
-	for range downAfter {
-		n.store.note(kv.ErrNotDone)
+	for range downFailures {
+		n.store.record(kv.ErrNotDone)
 	}
 	n.setOwner(&leadRecord{Entry: "entry-1", Address: owner, Term: 1, Session: "s"})
 	return n
@@ -91,15 +91,15 @@
 		"sound":            {func(*Node) {}, true},
 		"no configuration": {func(n *Node) { n.config.Store(nil) }, false},
 		"drains":           {func(n *Node) { n.Drain() }, false},
-		"store away":       {func(n *Node) { n.store.note(kv.ErrNotDone); n.store.note(kv.ErrNotDone) }, false},
-		"one call lost":    {func(n *Node) { n.store.note(kv.ErrNotDone) }, true},
+		"store away":       {func(n *Node) { n.store.record(kv.ErrNotDone); n.store.record(kv.ErrNotDone) }, false},
+		"one call lost":    {func(n *Node) { n.store.record(kv.ErrNotDone) }, true},
 	} {
 		n := &Node{steady: steadyClock(), drained: make(chan struct{}), log: &log.Logger{Writer: log.IOWriter{Writer: t.Output()}}}
 		now := time.Minute
 		n.store = &storeHealth{clock: func() time.Duration { return now }, changed: n.storeChanged}
-		n.store.note(nil)
+		n.store.record(nil)
 		n.config.Store(&job.Config{Version: 1})
-		now += unreadyQuiet
+		now += unreadyOutage
 		c.change(n)
 		if got := n.Ready(); got != c.want {
 			t.Errorf("%s: ready %v, want %v", name, got, c.want)
@@ -122,7 +122,7 @@
 		{evacuation{"a", 8, true}, 0}, // older than the lifting
 		{evacuation{"a", 11, true}, 1},
 	} {
-		l.note([]evacuation{x.update})
+		l.update([]evacuation{x.update})
 		if got := len(l.evacuated()); got != x.want {
 			t.Errorf("after %+v: %d are evacuated, want %d", x.update, got, x.want)
 		}
--- a/node/reread_test.go
+++ b/node/reread_test.go
@@ -117,7 +117,7 @@
 // Guards against a second run of a job that the watch reports only after its records were
 // removed: the owner received it by a hint, while its watch was silent for longer than
 // records of ended jobs are kept.
-func TestLateWatchBringsNoJobBack(t *testing.T) {
+func TestRemovedJobsAreNotRunAgain(t *testing.T) {
 	store := &removals{}
 	store.withheld.Store(true)
 	c := newRemovalsCell(t, store)
--- a/node/slots_test.go
+++ b/node/slots_test.go
@@ -11,7 +11,7 @@
 
 // TestOrdersWaitForASlotForABoundedTime: without the bound, orders queue up behind calls that
 // hang, and are sent long after they are out of date.
-func TestOrdersWaitForASlotOnlyAWhile(t *testing.T) {
+func TestOrdersWaitForASlotForABoundedTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := &owner{node: &Node{steady: steadyClock()}, ctx: context.Background(), slots: make(chan struct{}, 1)}
 		if !o.awaitSlot() || o.waited.Load() != 0 {
--- a/node/known_test.go
+++ b/node/state_test.go
@@ -10,13 +10,13 @@
 	"leverstile.dev/kv"
 )
 
-// heldStore holds one job's records.
-type heldStore struct {
+// recordStore holds one job's records.
+type recordStore struct {
 	Store
 	values map[string]string
 }
 
-func (s heldStore) Get(_ context.Context, key string) (*kv.Pair, error) {
+func (s recordStore) Get(_ context.Context, key string) (*kv.Pair, error) {
 	if v, ok := s.values[key]; ok {
 		return &kv.Pair{Key: key, Value: []byte(v)}, nil
 	}
@@ -37,7 +37,7 @@
 		"ended":     {map[string]string{jobPrefix + id: "{}", progressPrefix + id: `{"state":"succeeded"}`}, true, job.Succeeded},
 	} {
 		n := &Node{steady: steadyClock(), peers: newPeerClient(), log: &log.Logger{Writer: log.IOWriter{Writer: t.Output()}}}
-		n.store = &storeHealth{Store: heldStore{values: c.values}, clock: n.clock, changed: n.storeChanged}
+		n.store = &storeHealth{Store: recordStore{values: c.values}, clock: n.clock, changed: n.storeChanged}
 		status, known, err := n.State(context.Background(), id)
 		if err != nil || known != c.known || status.State != c.want {
 			t.Errorf("%s: %q, known %v, %v; want %q, known %v", name, status.State, known, err, c.want, c.known)
--- a/node/store.go
+++ b/node/store.go
@@ -76,7 +76,7 @@
 	rosterInParts = "parts"
 	// unreadKey holds the tasks that may have run at workers which were lost before the
 	// owner read their lists.
-	unheardKey = "ls/own/unheard"
+	unreadKey = "ls/own/unheard"
 	// learntKey holds the owner's estimates of run times and interference.
 	learntKey = "ls/own/learnt"
 	// intakePrefix holds the jobs and cancellations that entries record for the owner.
@@ -102,72 +102,72 @@
 const (
 	// After downFailures failed calls in a row without a success for downOutage, the store
 	// counts as down, and callers make no calls that need it.
-	downAfter = 2
-	downQuiet = 400 * time.Millisecond
+	downFailures = 2
+	downOutage   = 400 * time.Millisecond
 	// unreadyOutage is the outage after which the entry is not ready: shorter outages hit
 	// all entries alike, and sending callers to another entry would not help them.
-	unreadyQuiet = 2500 * time.Millisecond
+	unreadyOutage = 2500 * time.Millisecond
 )
 
-func (h *storeHealth) note(err error) {
+func (h *storeHealth) record(err error) {
 	if err == nil || errors.Is(err, kv.ErrLeaseNotFound) || errors.Is(err, kv.ErrCompacted) {
 		h.lastOK.Store(int64(h.clock()))
-		if h.failures.Swap(0) >= downAfter {
+		if h.failures.Swap(0) >= downFailures {
 			h.changed(true, nil)
 		}
 		return
 	}
-	if h.failures.Add(1) == downAfter {
+	if h.failures.Add(1) == downFailures {
 		h.changed(false, err)
 	}
 }
 
 // outage returns for how long the store has not answered, 0 while it answers.
-func (h *storeHealth) quiet() time.Duration {
-	if h.failures.Load() < downAfter {
+func (h *storeHealth) outage() time.Duration {
+	if h.failures.Load() < downFailures {
 		return 0
 	}
 	return h.clock() - time.Duration(h.lastOK.Load())
 }
 
 // sinceAnswer returns the time since the store last answered this process.
-func (h *storeHealth) silentFor() time.Duration { return h.clock() - time.Duration(h.lastOK.Load()) }
+func (h *storeHealth) sinceAnswer() time.Duration { return h.clock() - time.Duration(h.lastOK.Load()) }
 
 // Down reports whether callers should not wait for the store.
-func (h *storeHealth) Down() bool { return h.quiet() > downQuiet }
+func (h *storeHealth) Down() bool { return h.outage() > downOutage }
 
 // Range implements kv.Store.
 func (h *storeHealth) Range(ctx context.Context, prefix string) ([]kv.Pair, int64, error) {
 	pairs, rev, err := h.Store.Range(ctx, prefix)
-	h.note(err)
+	h.record(err)
 	return pairs, rev, err
 }
 
 // Get implements Store.
 func (h *storeHealth) Get(ctx context.Context, key string) (*kv.Pair, error) {
 	p, err := h.Store.Get(ctx, key)
-	h.note(err)
+	h.record(err)
 	return p, err
 }
 
 // Do implements kv.Store.
 func (h *storeHealth) Do(ctx context.Context, txn kv.Txn) (kv.TxnResult, error) {
 	r, err := h.Store.Do(ctx, txn)
-	h.note(err)
+	h.record(err)
 	return r, err
 }
 
 // Grant implements kv.Store.
 func (h *storeHealth) Grant(ctx context.Context, ttl time.Duration) (int64, error) {
 	lease, err := h.Store.Grant(ctx, ttl)
-	h.note(err)
+	h.record(err)
 	return lease, err
 }
 
 // KeepAlive implements kv.Store.
 func (h *storeHealth) KeepAlive(ctx context.Context, lease int64) error {
 	err := h.Store.KeepAlive(ctx, lease)
-	h.note(err)
+	h.record(err)
 	return err
 }
 
@@ -176,23 +176,23 @@
 
 // Watch implements kv.Store.
 func (h *storeHealth) Watch(ctx context.Context, prefix string, after int64, handle func(int64, []kv.Event)) error {
-	return h.noted(h.Store.Watch)(ctx, prefix, after, handle)
+	return h.recorded(h.Store.Watch)(ctx, prefix, after, handle)
 }
 
 // WatchPatiently implements Store.
 func (h *storeHealth) WatchPatiently(ctx context.Context, prefix string, after int64, handle func(int64, []kv.Event)) error {
-	return h.noted(h.Store.WatchPatiently)(ctx, prefix, after, handle)
+	return h.recorded(h.Store.WatchPatiently)(ctx, prefix, after, handle)
 }
 
 // recorded returns a watch whose answers count for the store's health.
-func (h *storeHealth) noted(watch watchFunc) watchFunc {
+func (h *storeHealth) recorded(watch watchFunc) watchFunc {
 	return func(ctx context.Context, prefix string, after int64, handle func(int64, []kv.Event)) error {
 		err := watch(ctx, prefix, after, func(rev int64, events []kv.Event) {
-			h.note(nil)
+			h.record(nil)
 			handle(rev, events)
 		})
 		if ctx.Err() == nil {
-			h.note(err)
+			h.record(err)
 		}
 		return err
 	}
--- a/node/storerelay.go
+++ b/node/storerelay.go
@@ -23,16 +23,16 @@
 const (
 	// relayDelay is how long the store may leave a call unanswered before the owner asks
 	// another entry to make it: a slow store takes 360 ms.
-	relayAfter = 450 * time.Millisecond
+	relayDelay = 450 * time.Millisecond
 	// relayAttempts is how many entries are asked to make one call.
-	relayTries = 2
+	relayAttempts = 2
 	// maxStoreSilence is how long the store may not have answered the owner itself. Beyond
 	// it, what the owner reads itself, such as the list of workers, is out of date.
-	relayFor = 8 * time.Second
+	maxStoreSilence = 8 * time.Second
 	// maxRelays is how many entries are remembered, relayMaxAge for how long: only entries
 	// that the store answered recently are useful.
-	mostRelays = 8
-	relayFresh = 10 * time.Second
+	maxRelays   = 8
+	relayMaxAge = 10 * time.Second
 )
 
 // relayList holds the entries that the store has recently answered, the newest last. Its
@@ -43,12 +43,12 @@
 }
 
 type relayEntry struct {
-	address string
-	heardAt time.Duration
+	address    string
+	answeredAt time.Duration
 }
 
 // add records that the store has answered an entry.
-func (l *relayList) heard(address string, now time.Duration) {
+func (l *relayList) add(address string, now time.Duration) {
 	if address == "" {
 		return
 	}
@@ -56,7 +56,7 @@
 	defer l.mu.Unlock()
 	l.entries = slices.DeleteFunc(l.entries, func(e relayEntry) bool { return e.address == address })
 	l.entries = append(l.entries, relayEntry{address, now})
-	l.entries = l.entries[max(len(l.entries)-mostRelays, 0):]
+	l.entries = l.entries[max(len(l.entries)-maxRelays, 0):]
 }
 
 // drop removes an entry that did not answer, or that the store does not answer either.
@@ -74,7 +74,7 @@
 		return "", false
 	}
 	e := l.entries[len(l.entries)-1]
-	return e.address, now-e.heardAt < relayFresh
+	return e.address, now-e.answeredAt < relayMaxAge
 }
 
 // storeCall is a call to the store that can also be made by another entry.
@@ -94,13 +94,13 @@
 // execute makes a call, and has other entries make it too if the store does not answer.
 // More than one of them may take effect, so the call must be a renewal, or a write that takes
 // effect once at most; mayBeRelayed is set if another entry may have carried it out as well.
-func (c storeCall[T]) make(ctx context.Context, o *owner) (value T, mayBeRelayed bool, err error) {
+func (c storeCall[T]) execute(ctx context.Context, o *owner) (value T, mayBeRelayed bool, err error) {
 	answers := make(chan storeAnswer[T], 1)
 	go func() {
 		value, err := c.direct(ctx)
 		answers <- storeAnswer[T]{value, err}
 	}()
-	wait := relayAfter
+	wait := relayDelay
 	if o.node.store.Down() {
 		wait = 0
 	}
@@ -113,14 +113,14 @@
 	case <-time.After(wait):
 	case <-ctx.Done():
 	}
-	for range relayTries {
+	for range relayAttempts {
 		address, ok := o.node.relays.newest(o.node.clock())
-		if !ok || o.node.store.silentFor() > relayFor || ctx.Err() != nil {
+		if !ok || o.node.store.sinceAnswer() > maxStoreSilence || ctx.Err() != nil {
 			break
 		}
-		value, err := c.through(ctx, o, address)
+		value, err := c.callThrough(ctx, o, address)
 		if conclusive(err) {
-			o.noteRelayed(address)
+			o.logRelayed(address)
 			return value, true, err
 		}
 		mayBeRelayed = mayBeRelayed || !errors.Is(err, kv.ErrNotDone)
@@ -134,16 +134,16 @@
 }
 
 // callThrough has another entry make the call.
-func (c storeCall[T]) through(ctx context.Context, o *owner, address string) (T, error) {
-	ctx, cancel := context.WithTimeout(ctx, peerAskTimeout)
+func (c storeCall[T]) callThrough(ctx context.Context, o *owner, address string) (T, error) {
+	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
 	return c.relay(ctx, jobsv1connect.NewRelayClient(o.node.peers, "http://"+address))
 }
 
 // logRelayed logs, once an outage, that other entries make the owner's calls.
-func (o *owner) noteRelayed(address string) {
+func (o *owner) logRelayed(address string) {
 	if o.node.relayed.CompareAndSwap(false, true) {
-		o.node.log.Warn().Str("event", "store_relayed").Str("by", address).Dur("silent", o.node.store.silentFor()).Msg("")
+		o.node.log.Warn().Str("event", "store_relayed").Str("by", address).Dur("silent", o.node.store.sinceAnswer()).Msg("")
 	}
 }
 
@@ -162,7 +162,7 @@
 			}
 			return struct{}{}, outcomeError(resp.Msg.GetOutcome())
 		},
-	}.make(o.ctx, o)
+	}.execute(o.ctx, o)
 	return err
 }
 
@@ -186,25 +186,25 @@
 			err = json.Unmarshal(resp.Msg.GetResult(), &res)
 			return res, errors.Trace(err)
 		},
-	}.make(ctx, o)
+	}.execute(ctx, o)
 }
 
 // recordViaRelay has another entry record a customer's request while the store does not answer
 // the owner, and processes it at once: the owner's watch reports nothing then. A record without
 // a value is a cancellation.
-func (o *owner) recordThroughOthers(ctx context.Context, key, id string, value []byte) Recorded {
-	if _, ok := o.node.relays.newest(o.node.clock()); !ok || o.node.store.silentFor() > relayFor {
+func (o *owner) recordViaRelay(ctx context.Context, key, id string, value []byte) Recorded {
+	if _, ok := o.node.relays.newest(o.node.clock()); !ok || o.node.store.sinceAnswer() > maxStoreSilence {
 		return RecordedNo
 	}
 	ctx, cancel := context.WithTimeout(ctx, writeBudget)
 	defer cancel()
 	_, _, err := o.do(ctx, kv.Txn{
 		If:   []kv.Compare{{Key: key, Missing: true}},
-		Then: []kv.Op{kv.Put(key, stored(value), 0)},
+		Then: []kv.Op{kv.Put(key, recordValue(value), 0)},
 	})
 	switch {
 	case err == nil: // a record that exists was written for the same customer
-		o.takeHint(id, value)
+		o.processHint(id, value)
 		return RecordedYes
 	case errors.Is(err, kv.ErrNotDone):
 		return RecordedNo
@@ -214,7 +214,7 @@
 }
 
 // recordValue returns the value to store for a record; the value of a cancellation has no meaning.
-func stored(value []byte) []byte {
+func recordValue(value []byte) []byte {
 	if len(value) == 0 {
 		return []byte("1")
 	}
@@ -223,11 +223,11 @@
 
 // cancelViaRelay is recordViaRelay for a cancellation. It refuses a job that the owner does
 // not know: only the store could show whether it exists.
-func (o *owner) cancelThroughOthers(ctx context.Context, id string) Recorded {
+func (o *owner) cancelViaRelay(ctx context.Context, id string) Recorded {
 	if _, known := o.stateOf(id); !known {
 		return RecordedNo
 	}
-	return o.recordThroughOthers(ctx, cancelPrefix+id, id, nil)
+	return o.recordViaRelay(ctx, cancelPrefix+id, id, nil)
 }
 
 // outcomeOf returns the wire value for the result of a call to the store.
--- a/node/storerelay_test.go
+++ b/node/storerelay_test.go
@@ -27,24 +27,24 @@
 	*countedStore
 	silent, late atomic.Bool
 	// unansweredRenewals is how many of the next renewals get no answer.
-	muted atomic.Int32
+	unansweredRenewals atomic.Int32
 	// refusing is set while writes are refused at once.
 	refusing atomic.Bool
 }
 
 // clientTimeout is how long the client of the store waits for an answer.
-const patience = 1500 * time.Millisecond
+const clientTimeout = 1500 * time.Millisecond
 
 func (s *silencedStore) wait(ctx context.Context) error {
 	select {
-	case <-time.After(patience):
+	case <-time.After(clientTimeout):
 	case <-ctx.Done():
 	}
 	return errors.Trace(kv.ErrUnavailable)
 }
 
 func (s *silencedStore) KeepAlive(ctx context.Context, lease int64) error {
-	if s.silent.Load() || s.muted.Add(-1) >= 0 {
+	if s.silent.Load() || s.unansweredRenewals.Add(-1) >= 0 {
 		return s.wait(ctx)
 	}
 	return s.countedStore.KeepAlive(ctx, lease)
@@ -68,7 +68,7 @@
 type handlers map[string]http.Handler
 
 // lostAnswers is the address of an entry whose answers are lost.
-const unheard = "unheard"
+const lostAnswers = "unheard"
 
 func (h handlers) RoundTrip(req *http.Request) (*http.Response, error) {
 	handler := h[req.URL.Host]
@@ -77,7 +77,7 @@
 	}
 	rec := httptest.NewRecorder()
 	handler.ServeHTTP(rec, req)
-	if req.URL.Host == unheard {
+	if req.URL.Host == lostAnswers {
 		return nil, errors.New("connection reset")
 	}
 	return rec.Result(), nil
@@ -96,7 +96,7 @@
 	c := &relayCell{store: &silencedStore{countedStore: shared}}
 	other := relayNode("other", shared)
 	n := relayNode("owner", c.store)
-	n.peers = &http.Client{Transport: handlers{"other": other.PeersHandler(), unheard: other.PeersHandler()}}
+	n.peers = &http.Client{Transport: handlers{"other": other.PeersHandler(), lostAnswers: other.PeersHandler()}}
 	lease, err := shared.Grant(t.Context(), ownerTTL)
 	if err != nil {
 		t.Fatal(err)
@@ -111,14 +111,14 @@
 		node: n, ctx: ctx, stop: func(error) { stop() },
 		own: &ownership{lease: lease, leadRev: won.Revision, chainRev: won.Revision},
 	}
-	n.relays.heard("other", n.clock())
+	n.relays.add("other", n.clock())
 	return c
 }
 
 func relayNode(name string, store Store) *Node {
 	n := &Node{opts: Options{Entry: name}, steady: steadyClock(), log: &log.Logger{Level: log.PanicLevel}}
 	n.store = &storeHealth{Store: store, clock: n.clock, changed: n.storeChanged}
-	n.store.note(nil)
+	n.store.record(nil)
 	return n
 }
 
@@ -126,7 +126,7 @@
 // owner alone: for seconds nothing would be started, and leases would expire if the next owner is
 // slow, since it reads all state and polls every worker. An owner whose state is out of date is
 // replaced all the same.
-func TestOwnerKeepsItsLeaseThroughOthers(t *testing.T) {
+func TestOwnerKeepsItsLeaseThroughRelays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newRelayCell(t)
 		c.owner.running.Go(c.owner.renewLoop)
@@ -134,9 +134,9 @@
 		c.store.silent.Store(true)
 		addRelay := func() {
 			time.Sleep(100 * time.Millisecond)
-			c.owner.node.relays.heard("other", c.owner.node.clock())
+			c.owner.node.relays.add("other", c.owner.node.clock())
 		}
-		for until := time.Now().Add(relayFor - time.Second); time.Now().Before(until); addRelay() {
+		for until := time.Now().Add(maxStoreSilence - time.Second); time.Now().Before(until); addRelay() {
 			if _, held := c.store.lead(); !held {
 				t.Fatal("the lease has expired")
 			}
@@ -159,7 +159,7 @@
 		c.owner.node.relays.drop("other")
 		c.owner.running.Go(c.owner.renewLoop)
 		time.Sleep(10*time.Second - time.Millisecond) // just before a renewal
-		c.store.muted.Store(2)
+		c.store.unansweredRenewals.Store(2)
 		for range 50 {
 			if _, held := c.store.lead(); !held {
 				t.Fatal("the lease has expired")
@@ -173,7 +173,7 @@
 
 // TestOwnerWritesThroughRelays: another entry makes the writes that the store does not answer; the
 // outcome of a write that may have been made twice, and is refused, is unknown.
-func TestOwnerWritesThroughOthers(t *testing.T) {
+func TestOwnerWritesThroughRelays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newRelayCell(t)
 		c.store.silent.Store(true)
@@ -190,40 +190,40 @@
 			t.Error("the next write is not made")
 		}
 		c.stop()
-		time.Sleep(patience)
+		time.Sleep(clientTimeout)
 	})
 }
 
 // TestChoiceOfRelay: recently added entries are asked, the newest first, and the next one if an
 // entry does not help; at once if the store counts as down or refuses the call.
-func TestWhoIsAskedToMakeACall(t *testing.T) {
+func TestChoiceOfRelay(t *testing.T) {
 	down := func(c *relayCell) {
 		c.store.silent.Store(true)
-		for range downAfter {
-			c.owner.node.store.note(kv.ErrUnavailable)
+		for range downFailures {
+			c.owner.node.store.record(kv.ErrUnavailable)
 		}
-		time.Sleep(2 * downQuiet)
+		time.Sleep(2 * downOutage)
 	}
 	for name, x := range map[string]struct {
 		before  func(c *relayCell)
 		written bool
 		most    time.Duration // for the call; the stand-in takes some milliseconds itself
 	}{
-		"the store is silent":         {func(c *relayCell) { c.store.silent.Store(true) }, true, relayAfter + 50*time.Millisecond},
+		"the store is silent":         {func(c *relayCell) { c.store.silent.Store(true) }, true, relayDelay + 50*time.Millisecond},
 		"the store counts as down":    {down, true, 50 * time.Millisecond},
 		"the store refuses the owner": {func(c *relayCell) { c.store.refusing.Store(true) }, true, 50 * time.Millisecond},
-		"the newest entry is gone":    {func(c *relayCell) { down(c); c.owner.node.relays.heard("gone", c.owner.node.clock()) }, true, 50 * time.Millisecond},
+		"the newest entry is gone":    {func(c *relayCell) { down(c); c.owner.node.relays.add("gone", c.owner.node.clock()) }, true, 50 * time.Millisecond},
 		"all entries are gone": {func(c *relayCell) {
 			down(c)
 			c.owner.node.relays.drop("other")
-			c.owner.node.relays.heard("gone", c.owner.node.clock())
-		}, false, patience},
+			c.owner.node.relays.add("gone", c.owner.node.clock())
+		}, false, clientTimeout},
 		"no entry was heard of lately": {func(c *relayCell) {
 			c.store.silent.Store(true)
 			time.Sleep(time.Second)
 			c.owner.node.relays.drop("other")
-			c.owner.node.relays.heard("other", c.owner.node.clock()-relayFresh)
-		}, false, patience},
+			c.owner.node.relays.add("other", c.owner.node.clock()-relayMaxAge)
+		}, false, clientTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -235,7 +235,7 @@
 					t.Errorf("written %v after %s, want %v after %s at most", written, took, x.written, x.most)
 				}
 				c.stop()
-				time.Sleep(patience)
+				time.Sleep(clientTimeout)
 			})
 		})
 	}
@@ -247,7 +247,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newRelayCell(t)
 		c.owner.node.relays.drop("other")
-		c.owner.node.relays.heard(unheard, c.owner.node.clock())
+		c.owner.node.relays.add(lostAnswers, c.owner.node.clock())
 		c.store.refusing.Store(true)
 		_, mayBeRelayed, err := c.owner.do(t.Context(), kv.Txn{Then: []kv.Op{kv.Put("k", []byte("1"), 0)}})
 		if !mayBeRelayed || errors.Is(err, kv.ErrNotDone) || !errors.Is(err, kv.ErrUnavailable) {
@@ -260,7 +260,7 @@
 // TestOwnerRecordsForCustomersThroughRelays guards against jobs that are refused while the store
 // answers neither their entry nor the owner, although other entries reach it: the owner has another
 // entry record them, and processes them itself.
-func TestOwnerRecordsForCustomersThroughOthers(t *testing.T) {
+func TestOwnerRecordsForCustomersThroughRelays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newRelayCell(t)
 		n, o := c.owner.node, c.owner
@@ -270,10 +270,10 @@
 		o.wake, o.flushNow = make(chan struct{}, 1), make(chan struct{}, 1)
 		n.current.Store(o)
 		c.store.silent.Store(true)
-		for range downAfter {
-			n.store.note(kv.ErrUnavailable)
+		for range downFailures {
+			n.store.record(kv.ErrUnavailable)
 		}
-		time.Sleep(2 * downQuiet)
+		time.Sleep(2 * downOutage)
 		if !n.store.Down() {
 			t.Fatal("the store counts as up")
 		}
@@ -324,7 +324,7 @@
 		if got := cancel(other); got != jobsv1.Recorded_RECORDED_NO || stored(cancelPrefix+other) {
 			t.Errorf("a cancellation of an unknown job was recorded: %v, stored %v", got, stored(cancelPrefix+other))
 		}
-		n.relays.heard(unheard, n.clock())
+		n.relays.add(lostAnswers, n.clock())
 		n.relays.drop("other")
 		if got := submit(other); got != jobsv1.Recorded_RECORDED_UNKNOWN {
 			t.Errorf("a job that another entry recorded without an answer: %v", got)
@@ -333,9 +333,9 @@
 			t.Errorf("a cancellation that nobody can record: %v", got)
 		}
 		const third = "00000000000000a3"
-		n.relays.heard("other", n.clock())
-		time.Sleep(relayFor)
-		n.relays.heard("other", n.clock())
+		n.relays.add("other", n.clock())
+		time.Sleep(maxStoreSilence)
+		n.relays.add("other", n.clock())
 		if got := submit(third); got != jobsv1.Recorded_RECORDED_NO || stored(jobPrefix+third) {
 			t.Errorf("recorded though the store has not answered the owner for long: %v, stored %v", got, stored(jobPrefix+third))
 		}
@@ -346,13 +346,13 @@
 			t.Errorf("without another entry a job was recorded: %v after %s, stored %v", refused, took, stored(jobPrefix+third))
 		}
 		c.stop()
-		time.Sleep(patience)
+		time.Sleep(clientTimeout)
 	})
 }
 
 // TestRelayRefusesWhenTheStoreIsDown: an entry that the store does not answer either refuses
 // at once.
-func TestNobodyHelpsWhereTheStoreIsDown(t *testing.T) {
+func TestRelayRefusesWhenTheStoreIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newRelayCell(t)
 		c.store.silent.Store(true)
@@ -364,6 +364,6 @@
 			t.Error("the ownership has ended")
 		}
 		c.stop()
-		time.Sleep(patience)
+		time.Sleep(clientTimeout)
 	})
 }
