--- a/cmd/leverstile/client.go
+++ b/cmd/leverstile/client.go
@@ -23,7 +23,7 @@
 	"leverstile.dev/entry"
 )
 
-// remote are the options of commands that call an entry.
+// remote holds the options of commands that call an entry.
 type remote struct {
 	Entry  string `long:"entry" required:"true" env:"LEVERSTILE_ENTRY" value-name:"IP:PORT" description:"address of an entry for callers"`
 	Output string `long:"output" default:"text" choice:"text" choice:"json" description:"form of the output"`
@@ -31,8 +31,8 @@
 
 const clientTimeout = 90 * time.Second
 
-// call sends a request and returns the answer's body. A refusal becomes a
-// result.Error.
+// call sends a request and returns the body and header of the answer. A refusal
+// is returned as a result.Error.
 func (r *remote) call(method, path string, header http.Header, body []byte) ([]byte, http.Header, error) {
 	req, err := http.NewRequest(method, "http://"+r.Entry+path, bytes.NewReader(body))
 	if err != nil {
@@ -69,7 +69,7 @@
 	return errors.Errorf("status %d: %.200s", resp.StatusCode, raw)
 }
 
-// print writes an answer as JSON, or by text.
+// print writes an answer as JSON, or as text through the function text.
 func (r *remote) print(raw []byte, text func(w io.Writer) error) error {
 	if r.Output == "json" {
 		_, err := os.Stdout.Write(raw)
@@ -82,8 +82,8 @@
 	return errors.Trace(tw.Flush())
 }
 
-// readFiles reads files; a folder stands for all .json, .jsonc and .hujson
-// files below it.
+// readFiles reads files, ordered by name. A folder stands for all .json, .jsonc
+// and .hujson files below it.
 func readFiles(args []string) ([]config.File, error) {
 	var files []config.File
 	for _, arg := range args {
@@ -118,7 +118,7 @@
 	}
 }
 
-// parseFiles checks files offline and prints warnings.
+// parseFiles checks files of declarations offline and prints their warnings.
 func parseFiles(args []string) (*config.Declarations, []config.File, error) {
 	files, err := readFiles(args)
 	if err != nil {
@@ -134,6 +134,7 @@
 	return decl, files, nil
 }
 
+// checkCommand checks files of settings or declarations offline.
 type checkCommand struct {
 	Settings bool `long:"settings" description:"the files are settings of entry processes"`
 	Args     struct {
@@ -164,7 +165,7 @@
 	return nil
 }
 
-// inForce returns the declarations in force and their revision.
+// fetchDeclarations returns the declarations in force and their revision.
 func (r *remote) inForce() ([]byte, uint64, error) {
 	raw, header, err := r.call(http.MethodGet, "/v1/declarations", nil, nil)
 	if err != nil {
@@ -291,7 +292,7 @@
 	return b, errors.Trace(err)
 }
 
-// withProblems prefers the entry's list of mistakes to the bare code.
+// withProblems returns the entry's list of mistakes if raw has one, else err.
 func withProblems(raw []byte, err error) error {
 	var ans entry.DeclarationsAnswer
 	if json.Unmarshal(raw, &ans) == nil && len(ans.Problems.Errors()) > 0 {
@@ -351,7 +352,8 @@
 	return nil
 }
 
-// oneOrMany are the options of commands on a task or on a selection.
+// oneOrMany holds the options of commands on a task or on all tasks that a
+// selector matches.
 type oneOrMany struct {
 	Selector string `long:"selector" description:"label selector, such as app=transcode"`
 	Args     struct {
--- a/cmd/leverstile/demo.go
+++ b/cmd/leverstile/demo.go
@@ -25,6 +25,8 @@
 	"leverstile.dev/standin"
 )
 
+// demoCommand runs three entries against embedded stand-ins and checks the
+// guarantees of the scheduler.
 type demoCommand struct {
 	Keep    bool   `long:"keep" description:"stay up and print commands to try"`
 	LogFile string `long:"log" value-name:"FILE" description:"write the entries' decision logs to a file"`
@@ -48,14 +50,14 @@
 const (
 	demoVMs       = 6
 	demoCores     = 4
-	demoArchive   = 24 // tasks of one core, as many as there is room for
+	demoArchive   = 24 // tasks of one core, as many as the VMs have capacity for
 	demoReconcile = 12
 	demoUrgent    = 4
 	demoPatience  = 18 * time.Second
 	demoCallers   = 12
 )
 
-// demo is one run of the demo.
+// demo is the state of a run of the demo.
 type demo struct {
 	ctx     context.Context
 	fleet   *standin.Fleet
@@ -74,7 +76,7 @@
 	done        chan error
 }
 
-// demoLoad counts what callers of the service saw.
+// demoLoad counts the answers that callers of the service received.
 type demoLoad struct {
 	mu       sync.Mutex
 	asked    int
@@ -147,7 +149,8 @@
 	return err
 }
 
-// scenes are what happens while the service is under load.
+// runScenario submits tasks, takes an endpoint out of service and replaces an
+// entry while the service is under load.
 func (d *demo) scenes() error {
 	d.say("batch wave: %d archive and %d reconciliation tasks", demoArchive, demoReconcile)
 	d.submit("archive", demoArchive, 2500)
@@ -156,10 +159,10 @@
 		return nil
 	}
 	d.say("urgent previews arrive while the VMs are full")
-	began := time.Now()
+	submitted := time.Now()
 	d.submit("preview", demoUrgent, 100)
 	d.until("urgent tasks end", func() bool { return d.doneOf("preview") == demoUrgent })
-	d.say("urgent tasks were done after %d ms", time.Since(began).Milliseconds())
+	d.say("urgent tasks were done after %d ms", time.Since(submitted).Milliseconds())
 	d.say("an endpoint leaves; an entry is replaced")
 	leaving := d.fleet.VMs()[0].ID
 	d.fleet.Endpoints[leaving].SetFaults(standin.EndpointFaults{Leaving: true})
@@ -180,7 +183,8 @@
 	d.broken = append(d.broken, fmt.Sprintf(format, args...))
 }
 
-// until waits for something; that it doesn't come is a broken promise.
+// waitUntil waits until holds returns true. If the demo's time ends first, it
+// records a violation and returns false.
 func (d *demo) until(what string, holds func() bool) bool {
 	for d.ctx.Err() == nil {
 		if holds() {
@@ -192,7 +196,7 @@
 	return false
 }
 
-// start runs an entry on free ports.
+// startEntry runs an entry on free ports.
 func (d *demo) start(id string) error {
 	callers, peers, err := entry.Listen(entry.AnyPort, entry.AnyPort)
 	if err != nil {
@@ -218,7 +222,7 @@
 	return nil
 }
 
-// pick returns an entry as the balancer would.
+// pickEntry returns the address of the next entry, as a load balancer would.
 func (d *demo) pick() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -242,7 +246,7 @@
 	return nil
 }
 
-// replace starts a new entry and stops an old one as an operator would.
+// replaceEntry starts a new entry and stops an old one as an operator would.
 func (d *demo) replace(i int) error {
 	old := d.entries[i]
 	if err := d.start("entry-new"); err != nil {
@@ -256,7 +260,7 @@
 		resp, err := http.Get("http://" + fresh.addr + "/v1/services/vendline/")
 		return err == nil && resp.StatusCode == http.StatusOK
 	})
-	// The balancer takes the old one out when it says that it is not ready.
+	// The load balancer removes the old entry once it reports that it is not ready.
 	close(old.stop)
 	d.until("readiness is off", func() bool {
 		resp, err := http.Get("http://" + old.addr + "/readyz")
@@ -274,18 +278,18 @@
 	}
 }
 
-// caller sends requests to the service, one after the other.
+// runCaller sends requests to the service, one after the other.
 func (d *demo) caller(ctx context.Context, n int) {
 	for i := 0; ctx.Err() == nil; i++ {
 		body := fmt.Sprintf("caller %d request %d", n, i)
-		began := time.Now()
+		started := time.Now()
 		resp, err := http.Post("http://"+d.pick()+"/v1/services/vendline/price", "text/plain", bytes.NewBufferString(body))
 		var answer []byte
 		if err == nil {
 			answer, err = io.ReadAll(resp.Body)
 			_ = resp.Body.Close()
 		}
-		d.load.count(resp, answer, err, body, time.Since(began))
+		d.load.count(resp, answer, err, body, time.Since(started))
 		time.Sleep(2 * time.Millisecond)
 	}
 }
@@ -364,7 +368,7 @@
 	return n
 }
 
-// check compares the stand-ins' books with the promises.
+// checkRecords compares the stand-ins' records with the guarantees.
 func (d *demo) check() {
 	for _, id := range d.fleet.Books().Overlaps() {
 		d.breaks("task %s ran in two places", id)
@@ -379,7 +383,8 @@
 	}
 }
 
-// table prints what was asked, answered, run, evicted, resumed and refused.
+// printTable prints the numbers of requests, tasks, evictions and store calls,
+// and records a violation if a task's evictions and resumptions differ.
 func (d *demo) table() {
 	tw := tabwriter.NewWriter(d.out, 0, 4, 2, ' ', 0)
 	defer tw.Flush()
@@ -407,6 +412,7 @@
 	fmt.Fprintf(tw, "\nstore\t%d calls\tof these %d writes\n\n", calls.Total(), calls.Writes())
 }
 
+// printCommands prints commands to try and waits for a signal.
 func (d *demo) keep() {
 	fmt.Fprintf(d.out, "\nTry:\n")
 	for _, cmd := range []string{"members", "get", "status --selector app=archive", "status archive-00"} {
--- a/cmd/leverstile/jobs.go
+++ b/cmd/leverstile/jobs.go
@@ -15,10 +15,11 @@
 	"leverstile.dev/api/result"
 )
 
-// jobsTimeout bounds a call: an entry tries a write for 2.2 s.
+// jobsTimeout bounds a call; it is longer than the 2.2 s for which an entry tries
+// a write.
 const jobsTimeout = 5 * time.Second
 
-// jobsClient is the part that all commands on jobs share.
+// jobsClient holds the option and connection that all commands on jobs use.
 type jobsClient struct {
 	Entry string `long:"entry" env:"LEVERSTILE_ENTRY" required:"true" value-name:"ADDR" description:"peer address of an entry, IP:PORT"`
 }
@@ -154,7 +155,7 @@
 	return nil
 }
 
-// jobsError maps an error of a call to a result code.
+// jobsError maps the error of a call to a result code.
 func jobsError(err error) error {
 	switch connect.CodeOf(err) {
 	case connect.CodeInvalidArgument:
@@ -166,6 +167,7 @@
 	}
 }
 
+// recordedError maps whether a write was recorded to a result code.
 func recordedError(r jobsv1.Recorded) error {
 	switch r {
 	case jobsv1.Recorded_RECORDED_YES:
--- a/cmd/leverstile/jobsdemo.go
+++ b/cmd/leverstile/jobsdemo.go
@@ -23,14 +23,14 @@
 	"leverstile.dev/platform/wiretest"
 )
 
-// jobDemo shows a job's way through two entries and stand-ins of the platform.
+// jobDemo runs jobs through two entries and stand-ins of the platform.
 type jobDemo struct{}
 
-// Figures of the demo.
+// Limits of the demo.
 const (
 	demoJobWorkers = 3
 	demoJobWork    = 100 * time.Millisecond // run time of a task
-	demoJobWait    = 20 * time.Second       // longest wait for a state
+	demoJobWait    = 20 * time.Second       // how long the demo waits for a job state
 	demoMaxLease   = 6 * time.Second
 	demoJobKept    = time.Minute
 )
@@ -71,7 +71,7 @@
 	running sync.WaitGroup
 }
 
-// start runs one entry in this process.
+// start starts an entry in this process.
 func (d *jobsDemo) start(ctx context.Context, name, store string) error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// show hands jobs in at one entry and asks the other.
+// runScenario submits jobs at one entry and asks the other for their state.
 func (d *jobsDemo) show(ctx context.Context) error {
 	for _, spec := range []string{demoShort, demoLong} {
 		if err := d.submit(ctx, spec); err != nil {
@@ -126,7 +126,7 @@
 	return d.await(ctx, demoLongID, "cancelled")
 }
 
-// submit hands a job in once an entry has read the configuration.
+// submit submits a job; it retries until the entry has read the configuration.
 func (d *jobsDemo) submit(ctx context.Context, spec string) error {
 	return d.until(func() (bool, error) {
 		resp, err := d.clients[0].Submit(ctx, connect.NewRequest(&jobsv1.SubmitRequest{Spec: []byte(spec)}))
--- a/cmd/leverstile/load.go
+++ b/cmd/leverstile/load.go
@@ -23,6 +23,7 @@
 	"leverstile.dev/standin"
 )
 
+// loadCommand sends requests to a service at a fixed mean rate and checks the answers.
 type loadCommand struct {
 	Targets   string  `long:"targets" required:"true" value-name:"IP:PORT,..." description:"entries, or endpoints with --direct"`
 	Service   string  `long:"service" default:"vendline" description:"service to call"`
@@ -38,8 +39,8 @@
 	transport *http.Transport
 }
 
-// LoadReport is what a run of load measured. Latency counts from the intended
-// start of a request, so that a stalled server is not flattered.
+// LoadReport is the result of a load run. Latency counts from the intended start
+// of a request, so that a stalled server does not hide the requests that it delays.
 type LoadReport struct {
 	Asked     int            `json:"asked"`
 	Answered  int            `json:"answered"`
@@ -67,9 +68,9 @@
 		cmd: c, targets: strings.Split(c.Targets, ","), hist: hdrhistogram.New(1, 120_000_000, 3), keys: map[string]bool{},
 		report: LoadReport{Codes: map[string]int{}},
 	}
-	began := time.Now()
+	started := time.Now()
 	run.drive()
-	run.sum(time.Since(began))
+	run.sum(time.Since(started))
 	if c.Books != "" {
 		if err := run.checkBooks(); err != nil {
 			return err
@@ -84,7 +85,8 @@
 	return nil
 }
 
-// drive starts requests at their intended times, whatever becomes of others.
+// sendRequests starts each request at its intended time without waiting for
+// answers to earlier ones, and returns when all have ended.
 func (l *loadRun) drive() {
 	rng := rand.New(rand.NewPCG(l.cmd.Seed, 1))
 	start := time.Now()
@@ -122,6 +124,8 @@
 	}
 }
 
+// send sends a request once. An answer with another request's body yields
+// result.PromiseBroken.
 func (l *loadRun) try(target, body, key string) (result.Code, error) {
 	url := "http://" + target + "/v1/services/" + l.cmd.Service + "/load"
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
@@ -180,19 +184,19 @@
 	l.report.PerSecond = float64(l.report.Answered) / took.Seconds()
 }
 
-// checkBooks compares the endpoints' books: no key ran twice.
+// checkRunsByKey checks in the endpoints' records that no key ran twice.
 func (l *loadRun) checkBooks() error {
 	resp, err := http.Get("http://" + l.cmd.Books + "/control/books")
 	if err != nil {
 		return errors.Trace(err)
 	}
 	defer resp.Body.Close()
-	var books standin.Books
-	if err := json.NewDecoder(resp.Body).Decode(&books); err != nil {
+	var records standin.Books
+	if err := json.NewDecoder(resp.Body).Decode(&records); err != nil {
 		return errors.Trace(err)
 	}
 	runs := map[string]int{}
-	for _, b := range books.Endpoints {
+	for _, b := range records.Endpoints {
 		for key, n := range b.Runs {
 			runs[key] += n
 		}
--- a/cmd/leverstile/losses.go
+++ b/cmd/leverstile/losses.go
@@ -12,14 +12,15 @@
 	"leverstile.dev/api/result"
 )
 
-// lossesCommand tells where jobs lost their time, from the logs of all entries.
+// lossesCommand reports where jobs lost time, from the logs of all entries.
 type lossesCommand struct {
 	Args struct {
 		Files []string `positional-arg-name:"FILE" description:"log files of the entries; standard input without one"`
 	} `positional-args:"true"`
 }
 
-// slowestShare of a queue's ended jobs, at least one, are looked at for reasons.
+// slowestShare is the share of a queue's succeeded jobs, at least one job, whose
+// reasons for lost time are printed.
 const slowestShare = 0.1
 
 // Execute implements flags.Commander.
@@ -31,24 +32,24 @@
 	return l.print(os.Stdout)
 }
 
-// losses follows all jobs of the logs.
+// losses collects what the logs report of all jobs.
 type losses struct {
 	jobs map[string]*lossJob
-	// takeovers are when entries began to own the cell, outages the times
-	// without the store, at any entry.
+	// takeovers are the times when entries became owner of the cell, outages
+	// the times in which an entry could not reach the store.
 	takeovers []time.Time
 	outages   []outage
-	lost      map[string]time.Time // by entry: since when it misses the store
+	lost      map[string]time.Time // by entry: start of its current outage
 }
 
 type outage struct{ from, to time.Time }
 
-// lossJob is what the logs tell of a job.
+// lossJob is what the logs report of a job.
 type lossJob struct {
-	queue, end string // end is the last part of its final event
+	queue, end string // end is the last part of the job's final event
 	handedIn   time.Time
 	ended      time.Time
-	unrecorded string // why it was not accepted, if it was not
+	unrecorded string // why the job was not accepted, "" if it was
 	reasons    map[string]int
 }
 
@@ -63,7 +64,7 @@
 	return j
 }
 
-// take takes in a line.
+// recordLine adds a log line.
 func (l *losses) take(line *logLine) {
 	switch line.Event {
 	case "owner_begin":
@@ -106,7 +107,7 @@
 	}
 }
 
-// lossReason names what a line says of time lost; "" if nothing.
+// lossReason returns the reason for lost time that a line reports, or "".
 func (l *logLine) lossReason() string {
 	switch l.Event {
 	case "step_waits":
@@ -134,10 +135,10 @@
 	}
 }
 
-// took is the time from hand-in to the end.
+// duration is the time from submission to the end.
 func (j *lossJob) took() time.Duration { return j.ended.Sub(j.handedIn) }
 
-// around adds what happened to the system while the job was there.
+// addSystemEvents adds the takeovers and store outages during the job as reasons.
 func (l *losses) around(j *lossJob) {
 	for _, at := range l.takeovers {
 		if at.After(j.handedIn) && at.Before(j.ended) {
@@ -151,7 +152,7 @@
 	}
 }
 
-// print writes a table a queue, the queues by name.
+// print writes a table for each queue, ordered by queue name.
 func (l *losses) print(out io.Writer) error {
 	queues := map[string][]*lossJob{}
 	for _, j := range l.jobs {
@@ -203,7 +204,7 @@
 	return l.printReasons(out, slowest)
 }
 
-// printReasons tells how many of the jobs met each reason, the commonest first.
+// printReasons prints how many of the jobs have each reason, the most frequent first.
 func (l *losses) printReasons(out io.Writer, jobs []*lossJob) error {
 	met, times := map[string]int{}, map[string]int{}
 	for _, j := range jobs {
--- a/cmd/leverstile/losses_test.go
+++ b/cmd/leverstile/losses_test.go
@@ -23,6 +23,8 @@
 {"time":"2026-01-01T10:00:07.000Z","entry":"e2","event":"job_succeeded","job":"dd"}
 `
 
+// Guards against reasons that are missing for slow jobs or printed for jobs
+// outside the slowest share.
 func TestLossesTellWhatTheSlowestJobsMet(t *testing.T) {
 	l := newLosses()
 	if err := readLog(strings.NewReader(lossesLog), l.take); err != nil {
@@ -45,9 +47,9 @@
 		}
 	}
 	if strings.Contains(out.String(), "run failed") {
-		t.Error("the reasons of a job that was not slow are told")
+		t.Error("the reasons of a job that was not slow are printed")
 	}
 	if newLosses().print(&out) == nil {
-		t.Error("logs without a job are no error")
+		t.Error("logs without a job must yield an error")
 	}
 }
--- a/cmd/leverstile/main.go
+++ b/cmd/leverstile/main.go
@@ -1,5 +1,5 @@
-// Command leverstile is the whole product: the entry process, the stand-ins of
-// the platform, and the command line of operators and callers.
+// Command leverstile runs the entry processes and the stand-ins of the platform,
+// and is the command line of operators and callers.
 package main
 
 import (
@@ -13,7 +13,7 @@
 	"leverstile.dev/config"
 )
 
-// exitError ends the process with a code of docs/RESULT_CODES.md.
+// exitError ends the process with an exit code of docs/RESULT_CODES.md.
 type exitError struct {
 	code int
 	err  error
@@ -36,6 +36,7 @@
 	os.Exit(exitCode(err))
 }
 
+// command is a subcommand with its help texts.
 type command struct {
 	name, short, long string
 	impl              flags.Commander
--- a/cmd/leverstile/main_test.go
+++ b/cmd/leverstile/main_test.go
@@ -25,7 +25,8 @@
 	return err
 }
 
-// TestCheckTellsAllMistakes: five mistakes, five errors, a non-zero exit code.
+// TestCheckReportsAllMistakes checks that a file with five mistakes yields five
+// errors and a non-zero exit code.
 func TestCheckTellsAllMistakes(t *testing.T) {
 	for name, c := range map[string]struct {
 		args []string
@@ -60,6 +61,7 @@
 	}
 }
 
+// Guards against errors that end the process with a wrong exit code.
 func TestExitCodes(t *testing.T) {
 	for _, c := range []struct {
 		err  error
--- a/cmd/leverstile/node.go
+++ b/cmd/leverstile/node.go
@@ -22,23 +22,24 @@
 	"leverstile.dev/platform"
 )
 
-// nodeCommand runs an entry on the users' platform.
+// nodeCommand runs an entry on the users' platform until SIGTERM, which drains it.
 type nodeCommand struct {
 	Check bool `long:"check" description:"read the settings, print the first mistake and end"`
-	// MetricsPort is the one that the deploy file names.
+	// MetricsPort defaults to the port that the deploy file names.
 	MetricsPort uint16 `long:"metrics-port" default:"7721" description:"port of the counters"`
 	LogLevel    string `long:"log-level" default:"info" description:"least level of log lines"`
 }
 
-// Figures of the process.
+// Timeouts of the process.
 const (
-	// drainListen is how long a draining process takes new connections: the
-	// platform stops sending them after two missed readiness checks, which
+	// drainAcceptTime is how long a draining process accepts new connections:
+	// the platform stops sending them after two missed readiness checks, which
 	// are a second apart.
 	drainListen = 2500 * time.Millisecond
-	// drainMargin is kept of the time before SIGKILL.
+	// shutdownMargin is the part of the time before SIGKILL that stays unused.
 	drainMargin = 500 * time.Millisecond
-	// jobKeptMargin is kept beyond the time that states must be readable.
+	// jobRetentionMargin is how long job records are kept beyond the time that
+	// job states must be readable.
 	jobKeptMargin = 30 * time.Second
 	// headerTimeout and idleTimeout bound customers' connections.
 	headerTimeout = 3 * time.Second
@@ -74,8 +75,8 @@
 	if err != nil {
 		return err
 	}
-	if figures := listenMetrics(s.IP, metricsPort, logger, set); figures != nil {
-		servers = append(servers, figures)
+	if metricsServer := listenMetrics(s.IP, metricsPort, logger, set); metricsServer != nil {
+		servers = append(servers, metricsServer)
 	}
 	for _, srv := range servers {
 		g.Add(srv.serve, srv.interrupt)
@@ -102,7 +103,7 @@
 	}
 }
 
-// server is one listener with its handler.
+// server is a listener with the HTTP server that uses it.
 type server struct {
 	name     string
 	listener net.Listener
@@ -135,8 +136,8 @@
 	return servers, nil
 }
 
-// listenMetrics returns the server of the counters. Without it the node works
-// on: jobs matter more.
+// listenMetrics returns the server of the metrics, or nil if it can't listen:
+// the node then runs without it, as scheduling jobs is more important.
 func listenMetrics(ip string, port uint16, logger *log.Logger, set *metrics.Set) *server {
 	l, err := net.Listen("tcp", net.JoinHostPort(ip, strconv.Itoa(int(port))))
 	if err != nil {
@@ -157,14 +158,15 @@
 
 func (s *server) interrupt(error) { _ = s.http.Close() }
 
-// addLoop adds a loop that ends with its context.
+// addLoop adds a loop to the group; an interrupt cancels the loop's context.
 func addLoop(g *oklog.Group, loop func(context.Context) error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	g.Add(func() error { return loop(ctx) }, func(error) { cancel() })
 }
 
-// addSignals ends the group some time after SIGTERM: the node turns unready,
-// hands over what it owns, answers what it has read, and goes.
+// addSignals drains the process and ends the group on SIGTERM or SIGINT. In the
+// drain the node becomes unready, hands over what it owns and answers the
+// requests that it has read.
 func addSignals(g *oklog.Group, s platform.Settings, n *node.Node, servers []*server, logger *log.Logger) {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
@@ -175,7 +177,7 @@
 			case sig := <-signals:
 				logger.Info().Str("event", "signal").Str("signal", sig.String()).Msg("")
 				if sig == syscall.SIGHUP {
-					continue // nothing in the settings changes at run time
+					continue // no setting can be changed at run time
 				}
 				drain(s, n, servers)
 				return nil
--- a/cmd/leverstile/serve.go
+++ b/cmd/leverstile/serve.go
@@ -13,6 +13,7 @@
 	"leverstile.dev/logging"
 )
 
+// serveCommand runs an entry process until SIGTERM.
 type serveCommand struct {
 	Settings string `long:"settings" required:"true" value-name:"FILE" description:"settings of this process, JSON with comments"`
 }
@@ -38,7 +39,7 @@
 	return entry.New(settings, logger, set, callers, peers).Run(stop, abort)
 }
 
-// stopSignals returns channels closed by the first and the second signal.
+// stopSignals returns channels that the first and the second signal close.
 func stopSignals() (stop, abort chan struct{}) {
 	stop, abort = make(chan struct{}), make(chan struct{})
 	signals := make(chan os.Signal, 2)
--- a/cmd/leverstile/standin.go
+++ b/cmd/leverstile/standin.go
@@ -12,6 +12,7 @@
 	"leverstile.dev/standin"
 )
 
+// standinCommand runs stand-ins of the platform until a signal.
 type standinCommand struct {
 	KV        string `long:"kv" default:"127.0.0.1:0" description:"address of the key-value service"`
 	List      string `long:"list" default:"127.0.0.1:0" description:"address of the VM list and of the control of faults"`
@@ -26,7 +27,7 @@
 	LagMS     int    `long:"list-lag-ms" default:"2000" description:"lag of the VM list"`
 }
 
-// Addresses is what standin prints when it is ready.
+// Addresses is printed when the stand-ins are ready.
 type Addresses struct {
 	KV   string `json:"kv"`
 	List string `json:"list"`
@@ -35,7 +36,7 @@
 // Execute implements flags.Commander.
 func (c *standinCommand) Execute([]string) error {
 	capacity := fleet.Resources{CPUMilli: c.Cores * 1000, MemoryMiB: c.MemoryGiB * 1024}
-	fleet, err := standin.NewFleet(standin.FleetSpec{
+	sim, err := standin.NewFleet(standin.FleetSpec{
 		Places: strings.Split(c.Places, ","), VMs: c.VMs, RackSize: c.RackSize, Capacity: capacity,
 		Service: c.Service, Slots: c.Slots, ServiceMS: c.ServiceMS,
 		ListLag: time.Duration(c.LagMS) * time.Millisecond, KVListen: c.KV, ListListen: c.List,
@@ -43,8 +44,8 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	defer fleet.Close()
-	if err := json.NewEncoder(os.Stdout).Encode(Addresses{KV: fleet.KVAddress, List: fleet.Address}); err != nil {
+	defer sim.Close()
+	if err := json.NewEncoder(os.Stdout).Encode(Addresses{KV: sim.KVAddress, List: sim.Address}); err != nil {
 		return errors.Trace(err)
 	}
 	stop, _ := stopSignals()
--- a/cmd/leverstile/trace.go
+++ b/cmd/leverstile/trace.go
@@ -12,7 +12,7 @@
 	"leverstile.dev/api/result"
 )
 
-// traceCommand follows a job through the logs of all entries.
+// traceCommand prints the log lines of a job from the logs of all entries.
 type traceCommand struct {
 	Job  string `long:"job" required:"true" value-name:"ID" description:"id of the job"`
 	Args struct {
@@ -20,7 +20,7 @@
 	} `positional-args:"true"`
 }
 
-// logLine is what trace and losses read of a log line.
+// logLine holds the fields of a log line that trace and losses use.
 type logLine struct {
 	Time     time.Time `json:"time"`
 	Entry    string    `json:"entry"`
@@ -37,7 +37,7 @@
 	Status   int       `json:"status"`
 }
 
-// surroundings are events that explain a job's fate without naming it.
+// contextEvents are events that explain a job's outcome without naming the job.
 var surroundings = map[string]bool{
 	"store_lost": true, "store_regained": true, "owner_begin": true, "owner_end": true, "owner_loaded": true,
 	"recovery_begun": true, "recovery_done": true, "owner_suspended": true, "owner_resumed": true, "lease_lost": true,
@@ -53,18 +53,19 @@
 	return t.summary()
 }
 
-// readLogs passes the lines of log files, or of standard input without one, to take.
-func readLogs(files []string, take func(*logLine)) error {
+// readLogs passes the lines of the log files to handle. Without files it reads
+// standard input.
+func readLogs(files []string, handle func(*logLine)) error {
 	if len(files) == 0 {
-		return readLog(os.Stdin, take)
+		return readLog(os.Stdin, handle)
 	}
 	for _, name := range files {
 		f, err := os.Open(name)
 		if err != nil {
 			return result.New(result.BadRequest, "%v", err)
 		}
-		err = readLog(f, take)
-		_ = f.Close() // it was only read
+		err = readLog(f, handle)
+		_ = f.Close() // an error of Close loses nothing: the file was only read
 		if err != nil {
 			return err
 		}
@@ -72,7 +73,7 @@
 	return nil
 }
 
-// tracer prints the lines of a job and counts what became of its runs.
+// tracer prints the lines of a job and counts the events of its runs.
 type tracer struct {
 	job     string
 	out     io.Writer
@@ -82,10 +83,10 @@
 	workers map[string]bool
 }
 
-// longestLine bounds a log line.
+// maxLineBytes bounds the length of a log line.
 const longestLine = 1 << 20
 
-func readLog(in io.Reader, take func(*logLine)) error {
+func readLog(in io.Reader, handle func(*logLine)) error {
 	scan := bufio.NewScanner(in)
 	scan.Buffer(nil, longestLine)
 	for scan.Scan() {
@@ -96,29 +97,29 @@
 		}
 		var l logLine
 		if json.Unmarshal([]byte(text[start:]), &l) != nil {
-			continue // not a line of ours
+			continue // not a log line of an entry
 		}
-		take(&l)
+		handle(&l)
 	}
 	return scan.Err()
 }
 
 func (t *tracer) take(l *logLine) {
-	mine := l.Job == t.job || strings.HasSuffix(l.Key, "/"+t.job)
-	if !mine && (t.first.IsZero() || !surroundings[l.Event] && !t.endsWorker(l)) {
+	ofJob := l.Job == t.job || strings.HasSuffix(l.Key, "/"+t.job)
+	if !ofJob && (t.first.IsZero() || !surroundings[l.Event] && !t.endsWorker(l)) {
 		return
 	}
-	if mine {
+	if ofJob {
 		t.note(l)
 	}
 	mark := "  "
-	if !mine {
+	if !ofJob {
 		mark = "~ "
 	}
 	_, _ = fmt.Fprintf(t.out, "%s%s %-18s %-16s %s\n", mark, l.Time.Format("15:04:05.000"), l.Entry, l.Event, l.detail())
 }
 
-// endsWorker reports whether a line tells how a worker ended that the job was on.
+// isEndOfJobWorker reports whether a line records the end of a worker that ran the job.
 func (t *tracer) endsWorker(l *logLine) bool { return l.Event == "worker_ended" && t.workers[l.Worker] }
 
 func (t *tracer) note(l *logLine) {
@@ -147,7 +148,7 @@
 	return strings.Join(parts, " ")
 }
 
-// summary prints what became of the job's runs.
+// summary prints the duration of the job and the counts of its runs' events.
 func (t *tracer) summary() error {
 	if t.first.IsZero() {
 		return result.New(result.UnknownTask, "no line names job %s", t.job)
--- a/cmd/leverstile/trace_test.go
+++ b/cmd/leverstile/trace_test.go
@@ -15,6 +15,8 @@
 {"time":"2026-01-01T10:00:04.000Z","entry":"e2","event":"run_done","job":"aa","task":"aa.0.0.0","worker":"w1"}
 `
 
+// Guards against lines of other jobs in the trace, and events of the system from
+// before the job's first line.
 func TestTraceFollowsOneJob(t *testing.T) {
 	var out bytes.Buffer
 	tr := tracer{job: "aa", out: &out}
@@ -32,11 +34,11 @@
 	}
 	for _, other := range []string{"bb", "store_lost"} {
 		if strings.Contains(text, other) {
-			t.Errorf("%q stands in:\n%s", other, text)
+			t.Errorf("%q must not be in:\n%s", other, text)
 		}
 	}
 	if err := (&tracer{job: "cc", out: &out}).summary(); err == nil {
-		t.Error("a job that no line names is no error")
+		t.Error("a job without log lines must yield an error")
 	}
 }
 
@@ -50,7 +52,8 @@
 {"time":"2026-01-01T10:00:05.000Z","entry":"e2","event":"job_failed","job":"aa","reason":"task aa.0.0.0: 3 workers in a row crashed when it was started"}
 `
 
-// TestTraceTellsCrashes: how the job's own workers ended stands between its lines.
+// TestTraceShowsWorkerCrashes checks that the end of a worker is printed if the
+// job ran on it, and not otherwise.
 func TestTraceTellsCrashes(t *testing.T) {
 	var out bytes.Buffer
 	tr := tracer{job: "aa", out: &out}
@@ -67,6 +70,6 @@
 		}
 	}
 	if strings.Contains(text, "w2") {
-		t.Errorf("the end of another worker stands in:\n%s", text)
+		t.Errorf("the end of a worker of another job is in:\n%s", text)
 	}
 }
