--- a/api/result/result_test.go
+++ b/api/result/result_test.go
@@ -12,6 +12,7 @@
 
 const page = "../../docs/RESULT_CODES.md"
 
+// render returns the page that describes all codes.
 func render() string {
 	var b strings.Builder
 	b.WriteString("# Result codes\n\n")
@@ -26,6 +27,7 @@
 	return b.String()
 }
 
+// Guards against a page that no longer matches the table.
 func TestPageMatchesSource(t *testing.T) {
 	if *write {
 		if err := os.WriteFile(page, []byte(render()), 0o644); err != nil {
@@ -38,6 +40,7 @@
 	}
 }
 
+// Guards against codes that are out of order or contradict their family.
 func TestTableIsSound(t *testing.T) {
 	last := Code(0)
 	for i, info := range Table {
@@ -53,6 +56,6 @@
 		}
 	}
 	if Lookup(9999).Name != "unlisted" {
-		t.Error("an unknown code must be told as such")
+		t.Error("an unknown code must have the name \"unlisted\"")
 	}
 }
--- a/cmd/leverstile/client.go
+++ b/cmd/leverstile/client.go
@@ -104,7 +104,7 @@
 	}
 	sort.Slice(files, func(i, j int) bool { return files[i].Name < files[j].Name })
 	if len(files) == 0 {
-		return nil, result.New(result.BadDeclarations, "no files")
+		return nil, result.New(result.BadDeclarations, "no declaration files found")
 	}
 	return files, nil
 }
--- a/cmd/leverstile/jobsdemo.go
+++ b/cmd/leverstile/jobsdemo.go
@@ -154,5 +154,5 @@
 			return err
 		}
 	}
-	return errors.Errorf("not within %v", demoJobWait)
+	return errors.Errorf("state not reached within %v", demoJobWait)
 }
--- a/cmd/leverstile/losses.go
+++ b/cmd/leverstile/losses.go
@@ -161,7 +161,7 @@
 		}
 	}
 	if len(queues) == 0 {
-		return result.New(result.UnknownTask, "no line tells of a job handed in")
+		return result.New(result.UnknownTask, "the logs contain no submitted job")
 	}
 	for _, name := range slices.Sorted(maps.Keys(queues)) {
 		if err := l.printQueue(out, name, queues[name]); err != nil {
--- a/cmd/leverstile/trace.go
+++ b/cmd/leverstile/trace.go
@@ -151,7 +151,7 @@
 // summary prints the duration of the job and the counts of its runs' events.
 func (t *tracer) summary() error {
 	if t.first.IsZero() {
-		return result.New(result.UnknownTask, "no line names job %s", t.job)
+		return result.New(result.UnknownTask, "the logs contain no line of job %s", t.job)
 	}
 	_, err := fmt.Fprintf(t.out, "job %s: %.3f s from its first line to its last; on %d workers; started %d, done %d, failed %d, stopped %d, lost %d (%d shortly after their start, as their worker crashed), slowed %d, waited %d times\n",
 		t.job, t.last.Sub(t.first).Seconds(), len(t.workers), t.events["run_started"], t.events["run_done"], t.events["run_failed"],
--- a/standin/contract_test.go
+++ b/standin/contract_test.go
@@ -12,8 +12,8 @@
 	"leverstile.dev/kv"
 )
 
-// TestStoreContract holds the stand-in, and the client over the gateway, to
-// what kv.Store promises.
+// TestStoreContract guards against a stand-in, or a client over the gateway, that
+// differs from the contract of kv.Store.
 func TestStoreContract(t *testing.T) {
 	t.Run("in process", func(t *testing.T) {
 		s := NewKVStore(time.Now)
@@ -78,13 +78,13 @@
 	}
 	faults.ExpireLease(id)
 	if err := s.KeepAlive(ctx, id); !errors.Is(err, kv.ErrLeaseNotFound) {
-		t.Errorf("keep-alive of a lapsed lease: %v", err)
+		t.Errorf("keep-alive of an expired lease: %v", err)
 	}
 	if pairs, _, err := s.Range(ctx, "/lease/"); err != nil || len(pairs) != 0 {
-		t.Errorf("keys of a lapsed lease: %v %v", pairs, err)
+		t.Errorf("keys of an expired lease: %v %v", pairs, err)
 	}
 	if _, err := s.Do(ctx, kv.Txn{Then: []kv.Op{kv.Put("/lease/y", nil, id)}}); !errors.Is(err, kv.ErrLeaseNotFound) {
-		t.Errorf("put under a lapsed lease: %v", err)
+		t.Errorf("put under an expired lease: %v", err)
 	}
 }
 
--- a/standin/kvstore.go
+++ b/standin/kvstore.go
@@ -1,6 +1,6 @@
-// Package standin holds small stand-ins of the platform, for tests, the demo
+// Package standin implements small stand-ins of the platform for tests, the demo
 // and trials: key-value service, workers, endpoints and VM list, each with
-// faults on demand.
+// faults that can be switched on.
 package standin
 
 import (
@@ -15,17 +15,17 @@
 	"leverstile.dev/kv"
 )
 
-// KVFaults are the faults that a KVStore shows, all off at zero.
+// KVFaults are the faults that a KVStore injects; the zero value injects none.
 type KVFaults struct {
 	// Down refuses every call.
 	Down bool `json:"down"`
 	// DelayMS delays every call.
 	DelayMS int `json:"delay_ms"`
-	// LoseAnswers makes the next n writes take effect and then fail.
+	// LoseAnswers makes the next n writes take effect and then return an error.
 	LoseAnswers int `json:"lose_answers"`
 }
 
-// KVCalls counts calls by kind; a waiting watch counts as one.
+// KVCalls counts calls by kind; a watch counts once, however long it waits.
 type KVCalls struct {
 	Range     int `json:"range"`
 	Txn       int `json:"txn"`
@@ -53,7 +53,8 @@
 	events []kv.Event
 }
 
-// maxLogged is how many changes are kept for watches that start in the past.
+// maxLoggedChanges is how many changes are kept for watches that start at a past
+// revision.
 const maxLogged = 10_000
 
 // KVStore is an in-memory key-value service with compare-and-swap, leases and
@@ -82,7 +83,7 @@
 	}
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the injected faults.
 func (s *KVStore) SetFaults(f KVFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,21 +91,21 @@
 	s.wake()
 }
 
-// Faults returns the faults in force.
+// Faults returns the injected faults.
 func (s *KVStore) Faults() KVFaults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
-// Calls returns the counts so far.
+// Calls returns the counts of the calls so far.
 func (s *KVStore) Calls() KVCalls {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// ExpireLease ends a lease at once, as if its holder had been paused.
+// ExpireLease ends a lease at once, as if its holder had not renewed it in time.
 func (s *KVStore) ExpireLease(id int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,7 +117,8 @@
 	s.changed = make(chan struct{})
 }
 
-// enter applies the faults that come before a call. The caller holds no lock.
+// beforeCall counts a call and injects the faults that precede it. The caller
+// holds no lock.
 func (s *KVStore) enter(ctx context.Context, count *int) error {
 	s.mu.Lock()
 	*count++
@@ -135,7 +137,7 @@
 	return nil
 }
 
-// leave applies the fault of a lost answer. The caller holds the lock.
+// afterWrite injects the fault of a lost answer. The caller holds the lock.
 func (s *KVStore) leave() error {
 	if s.faults.LoseAnswers == 0 {
 		return nil
@@ -144,6 +146,7 @@
 	return errors.Annotate(kv.ErrUnavailable, "answer lost by fault")
 }
 
+// expireLeases drops the leases whose time has passed. The caller holds the lock.
 func (s *KVStore) expire() {
 	now := s.now()
 	for id, l := range s.leases {
@@ -153,6 +156,7 @@
 	}
 }
 
+// dropLease deletes a lease and its keys. The caller holds the lock.
 func (s *KVStore) dropLease(id int64) {
 	if s.leases[id] == nil {
 		return
@@ -331,7 +335,7 @@
 	return s.leave()
 }
 
-// expiryPoll is how often a waiting watch looks for lapsed leases.
+// expiryPoll is how often a waiting watch checks for expired leases.
 const expiryPoll = 100 * time.Millisecond
 
 // Watch implements kv.Store.
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -16,8 +16,8 @@
 	"leverstile.dev/fleet"
 )
 
-// Poll waits until the worker has something new to tell about req, or a newer
-// request arrives, or req's wait has passed, and reports anew.
+// Poll applies req and returns its reply. It waits until the worker has an update
+// to report, a newer request arrives, or the wait time of req has passed.
 func (w *Worker) Poll(ctx context.Context, clock func() time.Duration, req *fleet.SyncRequest) *fleet.SyncReply {
 	reply := w.Sync(clock(), req)
 	if req.WaitMS == 0 || reply.Refused != "" {
@@ -40,11 +40,11 @@
 	return reply
 }
 
-// workerTick is how often a waiting call looks for news.
+// reportPollInterval is how often a waiting call checks for updates.
 const workerTick = 20 * time.Millisecond
 
-// Report reports for a request that was taken already, unless a newer one has
-// been taken since.
+// Report returns the state of the worker for a request that was applied before.
+// It refuses if a newer request has been applied since.
 func (w *Worker) Report(now time.Duration, req *fleet.SyncRequest) *fleet.SyncReply {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -59,22 +59,22 @@
 	return reply
 }
 
-// EndpointFaults are the faults that an Endpoint shows.
+// EndpointFaults are the faults that an Endpoint injects.
 type EndpointFaults struct {
-	// Leaving refuses every request as not begun.
+	// Leaving refuses every request before it starts.
 	Leaving bool `json:"leaving"`
 	// DelayMS is added to the service time.
 	DelayMS int `json:"delay_ms"`
-	// FailPart of the requests are answered with status 500.
+	// Fail answers every request with status 500.
 	Fail bool `json:"fail"`
-	// Cut ends answers in the middle.
+	// Cut ends each answer in the middle.
 	Cut bool `json:"cut"`
 	// Drop closes the connection after the request ran, without an answer.
 	Drop bool `json:"drop"`
 }
 
-// Endpoint is a service's runner with a number of slots. It answers with the
-// request's id and body, and keeps a book of what it ran.
+// Endpoint runs a service's requests in a limited number of slots. It answers
+// with the request's id and body, and records what it ran.
 type Endpoint struct {
 	Slots     int
 	ServiceMS int
@@ -93,14 +93,15 @@
 	return &Endpoint{Slots: slots, ServiceMS: serviceMS, runs: map[string]int{}}
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the injected faults.
 func (e *Endpoint) SetFaults(f EndpointFaults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults = f
 }
 
-// EndpointBook is what an endpoint has seen.
+// EndpointRecord counts the requests of an endpoint: all that ran, the peak of
+// concurrent ones, those refused as full, and the runs by Idempotency-Key.
 type EndpointBook struct {
 	Total int            `json:"total"`
 	Peak  int            `json:"peak"`
@@ -108,7 +109,7 @@
 	Runs  map[string]int `json:"runs"`
 }
 
-// Book returns a copy of the endpoint's book.
+// Record returns a copy of the endpoint's counts.
 func (e *Endpoint) Book() EndpointBook {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -119,7 +120,7 @@
 	return b
 }
 
-// begin takes a slot. It returns why not, or "".
+// acquireSlot takes a slot. It returns why that is refused, or "", and the faults.
 func (e *Endpoint) begin(key string) (string, EndpointFaults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -147,9 +148,9 @@
 
 // ServeHTTP implements http.Handler.
 func (e *Endpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	why, faults := e.begin(r.Header.Get("Idempotency-Key"))
-	if why != "" {
-		w.Header().Set("Leverstile-Not-Run", why)
+	reason, faults := e.begin(r.Header.Get("Idempotency-Key"))
+	if reason != "" {
+		w.Header().Set("Leverstile-Not-Run", reason)
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -175,12 +176,12 @@
 	}
 }
 
-// Fleet is a set of VMs, each with a worker and perhaps an endpoint, served on
-// loopback addresses.
+// Fleet is a set of VMs, each with a worker and optionally an endpoint, served
+// on loopback addresses.
 type Fleet struct {
 	KV        *KVStore
 	KVAddress string
-	Address   string // VM list and control
+	Address   string // of the VM list and the control of faults
 	Workers   map[string]*Worker
 	Endpoints map[string]*Endpoint
 
@@ -192,14 +193,15 @@
 	servers map[string]*http.Server
 }
 
+// listVersion is the VM list since a time; VMs returns it after the lag.
 type laggingList struct {
 	at  time.Time
 	vms []fleet.VM
 }
 
-// FleetSpec describes a Fleet. Each VM has the same size.
+// FleetSpec describes a Fleet. All VMs have the same size.
 type FleetSpec struct {
-	Places      []string
+	VMs         int // total, spread over the places
 	VMs         int // in all, spread over the places
 	RackSize    int
 	Capacity    fleet.Resources
@@ -290,14 +292,14 @@
 	})
 }
 
-// publish makes the present list known after the lag.
+// publishList makes the current list visible after the lag.
 func (f *Fleet) publish() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.lagging = append(f.lagging, laggingList{time.Now(), append([]fleet.VM(nil), f.vms...)})
 }
 
-// VMs returns the list as the platform tells it, late by the lag.
+// VMs returns the list as the platform reports it, delayed by the lag.
 func (f *Fleet) VMs() []fleet.VM {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -322,7 +324,8 @@
 	f.publish()
 }
 
-// StopVM ends a VM at once: its worker and endpoint go, and it leaves the list.
+// StopVM ends a VM at once: it closes the worker and the endpoint and removes
+// the VM from the list.
 func (f *Fleet) StopVM(id string) {
 	f.mu.Lock()
 	rest := make([]fleet.VM, 0, len(f.vms))
@@ -345,7 +348,7 @@
 	}
 }
 
-// Close ends all servers.
+// Close closes all servers.
 func (f *Fleet) Close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -354,15 +357,15 @@
 	}
 }
 
-// Books is what all stand-ins have seen, for checks of promises.
+// Records is what all stand-ins have recorded, for checks of guarantees.
 type Books struct {
 	Endpoints map[string]EndpointBook `json:"endpoints"`
 	Runs      map[string][]Run        `json:"runs"`
 	KV        KVCalls                 `json:"kv"`
 }
 
-// Overlaps returns the tasks of which two runs overlap in time: they ran in two
-// places at once.
+// Overlaps returns the tasks that have two runs which overlap in time: they ran
+// in two places at once.
 func (b Books) Overlaps() []string {
 	byTask := map[string][]Run{}
 	for _, runs := range b.Runs {
@@ -384,20 +387,20 @@
 	return out
 }
 
-// Books returns the books of all stand-ins.
+// Records returns the records of all stand-ins.
 func (f *Fleet) Books() Books {
-	b := Books{Endpoints: map[string]EndpointBook{}, Runs: map[string][]Run{}, KV: f.KV.Calls()}
+	records := Books{Endpoints: map[string]EndpointBook{}, Runs: map[string][]Run{}, KV: f.KV.Calls()}
 	for id, e := range f.Endpoints {
-		b.Endpoints[id] = e.Book()
+		records.Endpoints[id] = e.Book()
 	}
 	for id, w := range f.Workers {
 		w.Running(f.clock())
-		b.Runs[id] = w.Runs()
+		records.Runs[id] = w.Runs()
 	}
-	return b
+	return records
 }
 
-// serveVMs answers with the list, or that it has not changed.
+// serveVMs answers with the list, or with status 304 if the caller has it already.
 func (f *Fleet) serveVMs(w http.ResponseWriter, r *http.Request) {
 	body, err := json.Marshal(f.VMs())
 	if err != nil {
--- a/standin/platform_contract_test.go
+++ b/standin/platform_contract_test.go
@@ -10,8 +10,9 @@
 	"leverstile.dev/fleet"
 )
 
-// TestPlatformContract holds the client and the stand-in to what the platform's
-// interfaces promise: fences of a worker, and a list that is sent when changed.
+// TestPlatformContract guards against a client or stand-in that differs from the
+// platform's interfaces: a worker refuses outdated requests, and the VM list is
+// sent only if it changed.
 func TestPlatformContract(t *testing.T) {
 	sim, err := NewFleet(FleetSpec{
 		Places: []string{"a"}, VMs: 1, Capacity: fleet.Resources{CPUMilli: 2000, MemoryMiB: 2000},
@@ -74,7 +75,7 @@
 		}
 	}
 	if kept := sync(fleet.SyncRequest{Term: 2, Seq: 7}); len(kept.Ended) != 1 || kept.Ended[0].State != fleet.AttemptStopped {
-		t.Errorf("an end that is not acknowledged: %+v", kept)
+		t.Errorf("an end that has not been acknowledged: %+v", kept)
 	}
 	if gone := sync(fleet.SyncRequest{Term: 2, Seq: 8, Acks: []fleet.AttemptRef{ref}}); len(gone.Ended) != 0 {
 		t.Errorf("an acknowledged end: %+v", gone)
--- a/standin/worker.go
+++ b/standin/worker.go
@@ -10,15 +10,15 @@
 	"leverstile.dev/fleet"
 )
 
-// WorkerFaults are the faults that a Worker shows.
+// WorkerFaults are the faults that a Worker injects.
 type WorkerFaults struct {
 	// Unreachable drops every call.
 	Unreachable bool `json:"unreachable"`
-	// FailEverything makes each attempt fail at once.
+	// FailEverything makes each attempt fail as soon as it starts.
 	FailEverything bool `json:"fail_everything"`
-	// NoTermCheck, NoExpiryCheck, NoSeqCheck and NoBootCheck remove a fence, and
-	// NoRoomCheck the guard on the VM's capacity; tests use them to show that an
-	// oracle notices.
+	// NoTermCheck, NoExpiryCheck, NoSeqCheck and NoBootCheck switch off a fence
+	// against outdated requests, and NoCapacityCheck the check of the VM's
+	// capacity; tests use them to show that their checks detect a missing fence.
 	NoTermCheck   bool `json:"-"`
 	NoExpiryCheck bool `json:"-"`
 	NoSeqCheck    bool `json:"-"`
@@ -26,34 +26,36 @@
 	NoRoomCheck   bool `json:"-"`
 }
 
-// Job is what the payload of a stand-in task says. Work is in milliseconds of
-// run time alone on the VM.
+// Job is the payload of a stand-in task. Work is the run time in milliseconds of
+// a task that nothing slows down.
 type Job struct {
 	WorkMS int64           `json:"work_ms"`
 	Used   fleet.Resources `json:"used,omitzero"`
 	Fails  bool            `json:"fails,omitempty"`
 }
 
-// Run is one attempt that a worker began, for the books of tests.
+// Run is an attempt that a worker started, as recorded for tests.
 type Run struct {
 	fleet.AttemptRef
 	Worker  string
 	Began   time.Duration
 	Ended   time.Duration // zero while running
 	State   fleet.AttemptState
-	Resumed int64 // work in ms that the checkpoint brought along
+	Resumed int64 // work in ms that the checkpoint contained
 }
 
+// attempt is an attempt that the worker runs.
 type attempt struct {
 	fleet.Start
 	job       Job
-	done      time.Duration // work done before updated
+	done      time.Duration // work done until updated
 	updated   time.Duration
 	throttled bool
 	began     time.Duration
 	run       *Run
 }
 
+// session is the worker's state for the owner of one cell.
 type session struct {
 	term, seq  uint64
 	leaseUntil time.Duration
@@ -61,16 +63,16 @@
 	ended      map[fleet.AttemptRef]fleet.Report
 }
 
-// throttleDivisor is how much slower a throttled attempt runs.
+// throttleDivisor is the factor by which a throttled attempt runs slower.
 const throttleDivisor = 4
 
-// Worker is a platform worker. Its clock is the reading given to each call.
-// It keeps nothing over a Reboot.
+// Worker is a platform worker. Each call passes the time, as it has no clock of
+// its own. A Reboot deletes its sessions.
 type Worker struct {
 	ID       string
 	Capacity fleet.Resources
-	// Guards hold attempts to what they were given: less processor than used
-	// slows an attempt down, less memory ends it with a failure.
+	// EnforceLimits applies an attempt's limits to what it uses: with less
+	// processor time it runs slower, with less memory it fails.
 	Guards bool
 
 	mu      sync.Mutex
@@ -79,42 +81,43 @@
 	cells   map[string]*session
 	faults  WorkerFaults
 	changed chan struct{}
-	// Runs is the worker's own book of all attempts that began.
+	// runs holds all attempts that were started, over all reboots.
 	runs []*Run
-	// SlowdownOf, if set, measures the services on the VM against the kinds
-	// of the tasks that run there.
+	// SlowdownOf, if set, returns the slowdowns of the VM's services for the
+	// numbers of running tasks by kind.
 	SlowdownOf func(kinds map[string]int, now time.Duration) []fleet.Slowdown
-	// SampleLag is how late samples of Measure reach the owner.
+	// SampleLag is the delay after which samples of Measure reach the owner.
 	SampleLag time.Duration
 	reports   []delayedReport
 }
 
+// delayedSamples are samples that replies contain from a time on.
 type delayedReport struct {
-	at        time.Duration // when it may be told
+	at        time.Duration
 	usage     []fleet.Usage
 	slowdowns []fleet.Slowdown
 }
 
-// NewWorker returns a worker with nothing running.
+// NewWorker returns a worker without attempts.
 func NewWorker(id string, capacity fleet.Resources) *Worker {
 	return &Worker{ID: id, Capacity: capacity, boot: 1, cells: map[string]*session{}, changed: make(chan struct{})}
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the injected faults.
 func (w *Worker) SetFaults(f WorkerFaults) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.faults = f
 }
 
-// Faults returns the faults in force.
+// Faults returns the injected faults.
 func (w *Worker) Faults() WorkerFaults {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.faults
 }
 
-// Reboot ends everything at once and forgets it.
+// Reboot stops all attempts at once, deletes all sessions and starts a new incarnation.
 func (w *Worker) Reboot(now time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -129,7 +132,7 @@
 	w.booted = now
 }
 
-// Runs returns a copy of the worker's book.
+// Runs returns a copy of the records of all started attempts.
 func (w *Worker) Runs() []Run {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -140,7 +143,7 @@
 	return out
 }
 
-// Running returns the attempts that run at now, and the room they hold.
+// Running returns the attempts that run at now, and the resources given to them.
 func (w *Worker) Running(now time.Duration) ([]fleet.AttemptRef, fleet.Resources) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -163,13 +166,14 @@
 	w.changed = make(chan struct{})
 }
 
-// advance lets time pass: work gets done, leases lapse.
+// advance updates the attempts to the time now: they make progress, and end when
+// their work is done or their lease expires.
 func (w *Worker) advance(now time.Duration) {
 	changed := false
 	for _, s := range w.cells {
-		lapses := s.leaseUntil + w.booted - time.Second
+		leaseEnd := s.leaseUntil + w.booted - time.Second
 		for ref, a := range s.running {
-			end, state := w.endOf(a, lapses)
+			end, state := w.endOf(a, leaseEnd)
 			if end > now {
 				a.progress(now, w.speed(a))
 				continue
@@ -184,16 +188,16 @@
 	}
 }
 
-// endOf returns when an attempt ends if nothing else happens, and how.
-func (w *Worker) endOf(a *attempt, lapses time.Duration) (time.Duration, fleet.AttemptState) {
+// projectedEnd returns when and how an attempt ends if no request changes it.
+func (w *Worker) endOf(a *attempt, leaseEnd time.Duration) (time.Duration, fleet.AttemptState) {
 	left := time.Duration(a.job.WorkMS)*time.Millisecond - a.done
 	starved := w.Guards && a.job.Used.MemoryMiB > a.Given.MemoryMiB
 	if starved {
 		left = time.Duration(a.job.WorkMS)*time.Millisecond/2 - a.done
 	}
 	done := a.updated + time.Duration(float64(max(left, 0))/w.speed(a))
-	if done >= lapses {
-		return max(lapses, a.began), fleet.AttemptStopped
+	if done >= leaseEnd {
+		return max(leaseEnd, a.began), fleet.AttemptStopped
 	}
 	if a.job.Fails || starved || w.faults.FailEverything {
 		return done, fleet.AttemptFailed
@@ -201,7 +205,7 @@
 	return done, fleet.AttemptFinished
 }
 
-// speed is how fast an attempt gets on, as a part of its speed alone.
+// speed returns the speed of an attempt relative to one that nothing slows down.
 func (w *Worker) speed(a *attempt) float64 {
 	speed := 1.0
 	if a.throttled {
@@ -231,7 +235,7 @@
 	s.ended[ref] = r
 }
 
-// Sync takes one request at the clock reading now.
+// Sync applies a request at the time now and returns the worker's reply.
 func (w *Worker) Sync(now time.Duration, req *fleet.SyncRequest) *fleet.SyncReply {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -258,7 +262,7 @@
 	if s := w.cells[req.Cell]; s != nil {
 		return s
 	}
-	// A session without tasks stays: it remembers the term of its cell.
+	// A session without tasks is kept, as it contains the last term of its cell.
 	for _, s := range w.cells {
 		if len(s.running)+len(s.ended) > 0 {
 			return nil
@@ -309,8 +313,9 @@
 	return refused
 }
 
-// start begins an attempt unless it is known already. It returns false if the
-// attempt can't begin: not current, or no room left on the VM.
+// start starts an attempt unless it runs or has ended already. It returns false
+// if the attempt can't start: the request is not current, or the VM's capacity
+// does not suffice.
 func (w *Worker) start(now time.Duration, s *session, st fleet.Start, current bool) bool {
 	if s.running[st.AttemptRef] != nil {
 		return true
@@ -381,8 +386,8 @@
 	})
 }
 
-// Measure takes a usage and slow-down sample at now. It reaches the owner with
-// the first reply after SampleLag.
+// Measure records a usage and slowdown sample at now. The sample reaches the
+// owner with the first reply after SampleLag.
 func (w *Worker) Measure(now time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
