--- a/api/result/result.go
+++ b/api/result/result.go
@@ -1,5 +1,5 @@
-// Package result defines leverstile's numbered result codes. It is the one
-// source of the table in docs/RESULT_CODES.md; a test holds the page to it.
+// Package result defines leverstile's numbered result codes. The table in
+// docs/RESULT_CODES.md is generated from it; a test compares the two.
 package result
 
 import (
@@ -68,7 +68,7 @@
 	PromiseBroken    Code = 4015
 )
 
-// Ran says whether the work that a code speaks of was run.
+// Ran reports whether the work that a code refers to was run.
 type Ran string
 
 // Values of Ran.
@@ -101,6 +101,7 @@
 	ExitConflict = 7
 )
 
+// Values of Info.Repeatable.
 const (
 	safe      = "yes, after the told delay"
 	withKey   = "only if the work is idempotent or has its Idempotency-Key"
@@ -169,8 +170,8 @@
 // String returns the number and the name, as "1002 queue-full".
 func (c Code) String() string { return fmt.Sprintf("%d %s", uint32(c), Lookup(c).Name) }
 
-// Error is a refusal with its code. RetryAfter is zero where repeating at once
-// or not at all is right.
+// Error is a refusal with its code. RetryAfter is zero if the caller may repeat
+// at once or must not repeat at all.
 type Error struct {
 	Code       Code
 	Detail     string
@@ -190,7 +191,7 @@
 	return &Error{Code: c, Detail: fmt.Sprintf(format, args...)}
 }
 
-// After sets when the caller should come back.
+// After sets the delay after which the caller may repeat.
 func (e *Error) After(d time.Duration) *Error {
 	e.RetryAfter = d
 	return e
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -201,8 +201,8 @@
 
 // FleetSpec describes a Fleet. All VMs have the same size.
 type FleetSpec struct {
+	Places      []string
 	VMs         int // total, spread over the places
-	VMs         int // in all, spread over the places
 	RackSize    int
 	Capacity    fleet.Resources
 	Reserved    fleet.Resources
