--- a/cmd/leverstile/node.go
+++ b/cmd/leverstile/node.go
@@ -121,7 +121,7 @@
 		name, address string
 		handler       http.Handler
 	}{
-		{"callers", s.Callers, platform.NewFront(n, logger, set)},
+		{"callers", s.Callers, platform.NewCallHandler(n, logger, set)},
 		{"ready", s.Ready, ready},
 		{"peers", s.Peers, n.PeersHandler()},
 	} {
