--- a/cmd/leverstile/main.go
+++ b/cmd/leverstile/main.go
@@ -1,5 +1,5 @@
-// Command leverstile is the whole product: the entry process, the stand-ins of
-// the platform, and the command line of operators and callers.
+// Command leverstile runs the entry processes and the stand-ins of the platform,
+// and is the command line of operators and callers.
 package main
 
 import (
@@ -13,7 +13,7 @@
 	"leverstile.dev/config"
 )
 
-// exitError ends the process with a code of docs/RESULT_CODES.md.
+// exitError ends the process with an exit code of docs/RESULT_CODES.md.
 type exitError struct {
 	code int
 	err  error
@@ -36,6 +36,7 @@
 	os.Exit(exitCode(err))
 }
 
+// command is a subcommand with its help texts.
 type command struct {
 	name, short, long string
 	impl              flags.Commander
@@ -49,16 +50,16 @@
 		{"standin", "Run stand-ins of the platform", "Runs stand-ins of the key-value service, workers, endpoints and VM list in one process.", &standinCommand{}},
 		{"demo", "Run the whole path in one process", "Runs three entries against embedded stand-ins through load, eviction, a leaving endpoint and a rolling replacement, and checks the promises.", &demoCommand{}},
 		{"check", "Check settings or declarations offline", "Reads files of settings (with --settings) or declarations and prints every mistake with its place.", &checkCommand{}},
-		{"jobs", "Work with jobs on the users' platform", "Hands in, shows, cancels, counts and explains jobs, at any entry.", &jobsCommand{}},
+		{"jobs", "Work with jobs on the users' platform", "Submits, shows, cancels, counts and explains jobs, at any entry.", &jobsCommand{}},
 		{"trace", "Follow a job through logs", "Prints the log lines of a job, and of what happened around it, from the logs of all entries, and what became of its runs.", &traceCommand{}},
-		{"losses", "Tell where jobs lost their time", "Tells of each queue, from the logs of all entries, how its jobs ended and what its slowest met.", &lossesCommand{}},
+		{"losses", "Report where jobs lost time", "Reports for each queue, from the logs of all entries, how its jobs ended and why its slowest jobs lost time.", &lossesCommand{}},
 		{"apply", "Apply declarations", "Sends declarations with the revision that they are based on. A lost race is answered with a conflict and the difference.", &applyCommand{}},
 		{"diff", "Show what apply would change", "Compares files of declarations with those in force.", &diffCommand{}},
 		{"get", "Print the declarations in force", "Prints the declarations in force and their revision.", &getCommand{}},
 		{"submit", "Submit tasks", "Submits tasks from a JSON file, one task or a list. Submitting again is safe.", &submitCommand{}},
 		{"status", "Show tasks", "Shows a task by id, or all tasks that a selector matches.", &statusCommand{}},
 		{"cancel", "Cancel tasks", "Cancels a task by id, or all tasks that a selector matches.", &cancelCommand{}},
-		{"explain", "Say why a task runs or waits", "Says where a task runs and why, or why it doesn't run.", &explainCommand{}},
+		{"explain", "Explain why a task runs or waits", "Shows where a task runs and why, or why it doesn't run.", &explainCommand{}},
 		{"drain", "Send nothing new to a VM", "Marks a VM as leaving: its endpoint gets nothing new, its tasks move. --undo takes that back.", &drainCommand{}},
 		{"members", "List entries", "Lists the entries with the revision that each runs and the shards that it owns.", &membersCommand{}},
 	}
