--- a/api/result/result.go
+++ b/api/result/result.go
@@ -103,54 +103,54 @@
 
 // Values of Info.Repeatable.
 const (
-	safe      = "yes, after the told delay"
-	withKey   = "only if the work is idempotent or has its Idempotency-Key"
-	corrected = "after correction"
-	never     = "no"
+	repeatAfterDelay      = "yes, after the told delay"
+	repeatWithKey         = "only if the work is idempotent or has its Idempotency-Key"
+	repeatAfterCorrection = "after correction"
+	repeatNever           = "no"
 )
 
 // Table lists every code in ascending order.
 var Table = []Info{
-	{OK, "ok", "done", RanYes, never, 200, ExitOK},
-	{NoEndpoint, "no-endpoint", "no endpoint of the service can take requests now", RanNo, safe, 503, ExitNotRun},
-	{QueueFull, "queue-full", "the bounded queue of the caller's group or class is full", RanNo, safe, 503, ExitNotRun},
-	{DeadlineTooShort, "deadline-too-short", "the request's deadline can't be met, or passed while it waited", RanNo, safe, 503, ExitNotRun},
+	{OK, "ok", "done", RanYes, repeatNever, 200, ExitOK},
+	{NoEndpoint, "no-endpoint", "no endpoint of the service can take requests now", RanNo, repeatAfterDelay, 503, ExitNotRun},
+	{QueueFull, "queue-full", "the bounded queue of the caller's group or class is full", RanNo, repeatAfterDelay, 503, ExitNotRun},
+	{DeadlineTooShort, "deadline-too-short", "the request's deadline can't be met, or passed while it waited", RanNo, repeatAfterDelay, 503, ExitNotRun},
 	{EntryDraining, "entry-draining", "this entry is stopping; another one takes the request", RanNo, "yes, at once", 503, ExitNotRun},
-	{EndpointRefused, "endpoint-refused", "the endpoint refused the request before it began", RanNo, safe, 503, ExitNotRun},
-	{EndpointDown, "endpoint-down", "no connection to the endpoint; nothing was sent", RanNo, safe, 502, ExitNotRun},
-	{StoreUnavailable, "store-unavailable", "the platform's key-value service does not answer, so nothing could be recorded or claimed", RanNo, safe, 503, ExitNotRun},
-	{OwnerUnavailable, "owner-unavailable", "no entry owns the cell or claim shard at the moment, or it can't be reached", RanNo, safe, 503, ExitNotRun},
+	{EndpointRefused, "endpoint-refused", "the endpoint refused the request before it began", RanNo, repeatAfterDelay, 503, ExitNotRun},
+	{EndpointDown, "endpoint-down", "no connection to the endpoint; nothing was sent", RanNo, repeatAfterDelay, 502, ExitNotRun},
+	{StoreUnavailable, "store-unavailable", "the platform's key-value service does not answer, so nothing could be recorded or claimed", RanNo, repeatAfterDelay, 503, ExitNotRun},
+	{OwnerUnavailable, "owner-unavailable", "no entry owns the cell or claim shard at the moment, or it can't be reached", RanNo, repeatAfterDelay, 503, ExitNotRun},
 	{ClaimInProgress, "claim-in-progress", "an earlier request with this Idempotency-Key has not ended yet; this one was not run", RanNo, "yes, with the same key", 409, ExitNotRun},
-	{RetriesExhausted, "retries-exhausted", "each attempt was refused before it began, and the retry budget is spent", RanNo, safe, 503, ExitNotRun},
-	{QuotaExceeded, "quota-exceeded", "the task asks for more than its group's quota", RanNo, corrected, 403, ExitNotRun},
-	{FitsNoVM, "fits-no-vm", "no VM of the cell is large enough or matches the selector", RanNo, corrected, 200, ExitNotRun},
-	{TaskCancelled, "task-cancelled", "the task was cancelled", RanMaybe, never, 200, ExitNotRun},
-	{NoRoomInTime, "no-room-in-time", "the cell expects no room for the job in time; it was not recorded", RanNo, safe, 429, ExitNotRun},
-	{AnswerLost, "answer-lost", "the request was sent and the connection ended before an answer", RanMaybe, withKey, 502, ExitUnknown},
-	{AttemptTimeout, "attempt-timeout", "the request was sent and no answer came in time", RanMaybe, withKey, 504, ExitUnknown},
-	{ClaimUnknown, "claim-unknown", "the first request with this key was sent and its outcome is unknown; it is never run again", RanMaybe, never, 409, ExitUnknown},
+	{RetriesExhausted, "retries-exhausted", "each attempt was refused before it began, and the retry budget is spent", RanNo, repeatAfterDelay, 503, ExitNotRun},
+	{QuotaExceeded, "quota-exceeded", "the task asks for more than its group's quota", RanNo, repeatAfterCorrection, 403, ExitNotRun},
+	{FitsNoVM, "fits-no-vm", "no VM of the cell is large enough or matches the selector", RanNo, repeatAfterCorrection, 200, ExitNotRun},
+	{TaskCancelled, "task-cancelled", "the task was cancelled", RanMaybe, repeatNever, 200, ExitNotRun},
+	{NoRoomInTime, "no-room-in-time", "the cell expects no room for the job in time; it was not recorded", RanNo, repeatAfterDelay, 429, ExitNotRun},
+	{AnswerLost, "answer-lost", "the request was sent and the connection ended before an answer", RanMaybe, repeatWithKey, 502, ExitUnknown},
+	{AttemptTimeout, "attempt-timeout", "the request was sent and no answer came in time", RanMaybe, repeatWithKey, 504, ExitUnknown},
+	{ClaimUnknown, "claim-unknown", "the first request with this key was sent and its outcome is unknown; it is never run again", RanMaybe, repeatNever, 409, ExitUnknown},
 	{CommitUnknown, "commit-unknown", "the commit's outcome is unknown; repeat the submission with the same id", RanMaybe, "yes, with the same id", 504, ExitUnknown},
-	{WorkerLostNoRep, "worker-lost", "the worker was lost while it may have run a task marked as not repeatable", RanMaybe, never, 200, ExitUnknown},
-	{CallerWentAway, "caller-went-away", "the caller closed the connection before the answer", RanMaybe, withKey, 499, ExitUnknown},
-	{AnswerBodyNotKept, "answer-body-not-kept", "the first request with this key has run; its answer was too large to keep", RanYes, never, 200, ExitOK},
+	{WorkerLostNoRep, "worker-lost", "the worker was lost while it may have run a task marked as not repeatable", RanMaybe, repeatNever, 200, ExitUnknown},
+	{CallerWentAway, "caller-went-away", "the caller closed the connection before the answer", RanMaybe, repeatWithKey, 499, ExitUnknown},
+	{AnswerBodyNotKept, "answer-body-not-kept", "the first request with this key has run; its answer was too large to keep", RanYes, repeatNever, 200, ExitOK},
 	{TaskFailed, "task-failed", "the task ran and failed", RanYes, "if the task is idempotent", 200, ExitFailed},
 	{AttemptsExhausted, "attempts-exhausted", "the task failed or lost its worker on each allowed attempt", RanYes, "if the task is idempotent", 200, ExitFailed},
-	{AnswerCut, "answer-cut", "the endpoint's answer ended early; the connection to the caller is cut so that this is seen", RanYes, withKey, 502, ExitFailed},
-	{BadRequest, "bad-request", "the request is malformed", RanNo, corrected, 400, ExitInput},
-	{UnknownService, "unknown-service", "no such service is declared", RanNo, corrected, 404, ExitInput},
-	{BodyTooLarge, "body-too-large", "the body is over the limit", RanNo, corrected, 413, ExitInput},
-	{UnknownTask, "unknown-task", "no such task", RanNo, corrected, 404, ExitInput},
-	{BadSelector, "bad-selector", "the label selector can't be parsed", RanNo, corrected, 400, ExitInput},
-	{TaskIDConflict, "task-id-conflict", "a task with this id and another specification exists", RanNo, corrected, 409, ExitInput},
-	{KeyReused, "key-reused", "the Idempotency-Key was used for a different request", RanNo, corrected, 422, ExitInput},
-	{RevisionConflict, "revision-conflict", "the declarations have changed since the revision that this change is based on", RanNo, corrected, 412, ExitConflict},
-	{BadDeclarations, "bad-declarations", "the declarations have mistakes; nothing was accepted", RanNo, corrected, 422, ExitInput},
-	{BadSettings, "bad-settings", "the settings have mistakes; the process does not start", RanNo, corrected, 422, ExitInput},
-	{NotFound, "not-found", "no such path", RanNo, corrected, 404, ExitInput},
-	{MethodNotAllowed, "method-not-allowed", "the path does not take this method", RanNo, corrected, 405, ExitInput},
-	{UnknownGroup, "unknown-group", "no selector binds the work to a declared group", RanNo, corrected, 422, ExitInput},
+	{AnswerCut, "answer-cut", "the endpoint's answer ended early; the connection to the caller is cut so that this is seen", RanYes, repeatWithKey, 502, ExitFailed},
+	{BadRequest, "bad-request", "the request is malformed", RanNo, repeatAfterCorrection, 400, ExitInput},
+	{UnknownService, "unknown-service", "no such service is declared", RanNo, repeatAfterCorrection, 404, ExitInput},
+	{BodyTooLarge, "body-too-large", "the body is over the limit", RanNo, repeatAfterCorrection, 413, ExitInput},
+	{UnknownTask, "unknown-task", "no such task", RanNo, repeatAfterCorrection, 404, ExitInput},
+	{BadSelector, "bad-selector", "the label selector can't be parsed", RanNo, repeatAfterCorrection, 400, ExitInput},
+	{TaskIDConflict, "task-id-conflict", "a task with this id and another specification exists", RanNo, repeatAfterCorrection, 409, ExitInput},
+	{KeyReused, "key-reused", "the Idempotency-Key was used for a different request", RanNo, repeatAfterCorrection, 422, ExitInput},
+	{RevisionConflict, "revision-conflict", "the declarations have changed since the revision that this change is based on", RanNo, repeatAfterCorrection, 412, ExitConflict},
+	{BadDeclarations, "bad-declarations", "the declarations have mistakes; nothing was accepted", RanNo, repeatAfterCorrection, 422, ExitInput},
+	{BadSettings, "bad-settings", "the settings have mistakes; the process does not start", RanNo, repeatAfterCorrection, 422, ExitInput},
+	{NotFound, "not-found", "no such path", RanNo, repeatAfterCorrection, 404, ExitInput},
+	{MethodNotAllowed, "method-not-allowed", "the path does not take this method", RanNo, repeatAfterCorrection, 405, ExitInput},
+	{UnknownGroup, "unknown-group", "no selector binds the work to a declared group", RanNo, repeatAfterCorrection, 422, ExitInput},
 	{NoDeclarations, "no-declarations", "nothing has been declared yet", RanNo, "after the first apply", 503, ExitInput},
-	{PromiseBroken, "promise-broken", "the demo or load run saw a broken promise", RanMaybe, never, 500, ExitFailed},
+	{PromiseBroken, "promise-broken", "the demo or load run saw a broken promise", RanMaybe, repeatNever, 500, ExitFailed},
 }
 
 // Lookup returns the description of a code. An unknown number yields an Info
--- a/cell/owner_fuzz_test.go
+++ b/cell/owner_fuzz_test.go
@@ -25,7 +25,7 @@
 func TestOwnerPromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pick := func(label string, n int) int { return rapid.IntRange(0, n-1).Draw(t, label) }
-		s := newSim(pick, mutation{faults: standin.WorkerFaults{NoRoomCheck: true}})
+		s := newSim(pick, mutation{faults: standin.WorkerFaults{NoCapacityCheck: true}})
 		for range simSteps {
 			if err := s.step(); err != nil {
 				t.Fatal(err)
@@ -40,7 +40,7 @@
 // seeded runs one sim from a seed until a promise breaks.
 func seeded(seed uint64, m mutation) (*sim, error) {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	m.faults.NoRoomCheck = true
+	m.faults.NoCapacityCheck = true
 	s := newSim(func(_ string, n int) int { return rng.IntN(n) }, m)
 	for range simSteps {
 		if err := s.step(); err != nil {
--- a/cmd/leverstile/client.go
+++ b/cmd/leverstile/client.go
@@ -52,12 +52,12 @@
 		return nil, nil, &exitError{result.ExitUnknown, err}
 	}
 	if resp.StatusCode >= http.StatusBadRequest {
-		return raw, resp.Header, refusalOf(resp, raw)
+		return raw, resp.Header, decodeRefusal(resp, raw)
 	}
 	return raw, resp.Header, nil
 }
 
-func refusalOf(resp *http.Response, raw []byte) error {
+func decodeRefusal(resp *http.Response, raw []byte) error {
 	var ref entry.Refusal
 	if json.Unmarshal(raw, &ref) == nil && ref.Code != 0 {
 		return &result.Error{Code: ref.Code, Detail: ref.Detail}
@@ -91,7 +91,7 @@
 			if err != nil || d.IsDir() {
 				return err
 			}
-			if path != arg && !declaresByName(path) {
+			if path != arg && !isDeclarationFile(path) {
 				return nil
 			}
 			text, err := os.ReadFile(path)
@@ -109,7 +109,7 @@
 	return files, nil
 }
 
-func declaresByName(path string) bool {
+func isDeclarationFile(path string) bool {
 	switch filepath.Ext(path) {
 	case ".json", ".jsonc", ".hujson":
 		return true
@@ -166,7 +166,7 @@
 }
 
 // fetchDeclarations returns the declarations in force and their revision.
-func (r *remote) inForce() ([]byte, uint64, error) {
+func (r *remote) fetchDeclarations() ([]byte, uint64, error) {
 	raw, header, err := r.call(http.MethodGet, "/v1/declarations", nil, nil)
 	if err != nil {
 		return nil, 0, err
@@ -179,7 +179,7 @@
 
 // Execute implements flags.Commander.
 func (c *getCommand) Execute([]string) error {
-	raw, rev, err := c.inForce()
+	raw, rev, err := c.fetchDeclarations()
 	if err != nil {
 		return err
 	}
@@ -206,7 +206,7 @@
 }
 
 func (r *remote) showDiff(decl *config.Declarations) error {
-	current, rev, err := r.inForce()
+	current, rev, err := r.fetchDeclarations()
 	if err != nil {
 		return err
 	}
@@ -273,7 +273,7 @@
 	if c.Base != nil {
 		return *c.Base, nil
 	}
-	_, rev, err := c.inForce()
+	_, rev, err := c.fetchDeclarations()
 	return rev, err
 }
 
--- a/cmd/leverstile/demo.go
+++ b/cmd/leverstile/demo.go
@@ -53,21 +53,21 @@
 	demoArchive   = 24 // tasks of one core, as many as the VMs have capacity for
 	demoReconcile = 12
 	demoUrgent    = 4
-	demoPatience  = 18 * time.Second
+	demoTimeout   = 18 * time.Second
 	demoCallers   = 12
 )
 
 // demo is the state of a run of the demo.
 type demo struct {
-	ctx     context.Context
-	fleet   *standin.Fleet
-	out     io.Writer
-	logs    io.Writer
-	mu      sync.Mutex
-	entries []*demoEntry
-	next    atomic.Uint32
-	load    demoLoad
-	broken  []string
+	ctx        context.Context
+	fleet      *standin.Fleet
+	out        io.Writer
+	logs       io.Writer
+	mu         sync.Mutex
+	entries    []*demoEntry
+	next       atomic.Uint32
+	load       demoLoad
+	violations []string
 }
 
 type demoEntry struct {
@@ -78,17 +78,17 @@
 
 // demoLoad counts the answers that callers of the service received.
 type demoLoad struct {
-	mu       sync.Mutex
-	asked    int
-	answered int
-	refused  map[result.Code]int
-	cut      int
-	latency  *hdrhistogram.Histogram
+	mu          sync.Mutex
+	sent        int
+	answered    int
+	refused     map[result.Code]int
+	interrupted int
+	latency     *hdrhistogram.Histogram
 }
 
 // Execute implements flags.Commander.
 func (c *demoCommand) Execute([]string) error {
-	ctx, cancel := context.WithTimeout(context.Background(), demoPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), demoTimeout)
 	defer cancel()
 	logs := io.Writer(io.Discard)
 	if c.LogFile != "" {
@@ -107,13 +107,13 @@
 	if err != nil {
 		return err
 	}
-	d.table()
-	if len(d.broken) > 0 {
-		return result.New(result.PromiseBroken, "%v", d.broken)
+	d.printTable()
+	if len(d.violations) > 0 {
+		return result.New(result.PromiseBroken, "%v", d.violations)
 	}
 	fmt.Fprintln(d.out, "every promise looked at was kept")
 	if c.Keep {
-		d.keep()
+		d.printCommands()
 	}
 	return nil
 }
@@ -130,74 +130,74 @@
 		return errors.Trace(err)
 	}
 	for i := range 3 {
-		if err := d.start(fmt.Sprintf("entry-%d", i+1)); err != nil {
+		if err := d.startEntry(fmt.Sprintf("entry-%d", i+1)); err != nil {
 			return err
 		}
 	}
-	if err := d.apply(); err != nil {
+	if err := d.applyDeclarations(); err != nil {
 		return err
 	}
 	loading, stopLoad := context.WithCancel(d.ctx)
 	var callers sync.WaitGroup
 	for i := range demoCallers {
-		callers.Go(func() { d.caller(loading, i) })
+		callers.Go(func() { d.runCaller(loading, i) })
 	}
-	err = d.scenes()
+	err = d.runScenario()
 	stopLoad()
 	callers.Wait()
-	d.check()
+	d.checkRecords()
 	return err
 }
 
 // runScenario submits tasks, takes an endpoint out of service and replaces an
 // entry while the service is under load.
-func (d *demo) scenes() error {
-	d.say("batch wave: %d archive and %d reconciliation tasks", demoArchive, demoReconcile)
+func (d *demo) runScenario() error {
+	d.printStep("batch wave: %d archive and %d reconciliation tasks", demoArchive, demoReconcile)
 	d.submit("archive", demoArchive, 2500)
 	d.submit("reconcile", demoReconcile, 400)
-	if !d.until("the VMs are full", func() bool { return d.running() >= demoArchive-4 }) {
+	if !d.waitUntil("the VMs are full", func() bool { return d.countRunning() >= demoArchive-4 }) {
 		return nil
 	}
-	d.say("urgent previews arrive while the VMs are full")
+	d.printStep("urgent previews arrive while the VMs are full")
 	submitted := time.Now()
 	d.submit("preview", demoUrgent, 100)
-	d.until("urgent tasks end", func() bool { return d.doneOf("preview") == demoUrgent })
-	d.say("urgent tasks were done after %d ms", time.Since(submitted).Milliseconds())
-	d.say("an endpoint leaves; an entry is replaced")
+	d.waitUntil("urgent tasks end", func() bool { return d.countDone("preview") == demoUrgent })
+	d.printStep("urgent tasks were done after %d ms", time.Since(submitted).Milliseconds())
+	d.printStep("an endpoint leaves; an entry is replaced")
 	leaving := d.fleet.VMs()[0].ID
 	d.fleet.Endpoints[leaving].SetFaults(standin.EndpointFaults{Leaving: true})
-	if err := d.replace(0); err != nil {
+	if err := d.replaceEntry(0); err != nil {
 		return err
 	}
-	d.until("all tasks end", func() bool {
-		return d.doneOf("archive") == demoArchive && d.doneOf("reconcile") == demoReconcile
+	d.waitUntil("all tasks end", func() bool {
+		return d.countDone("archive") == demoArchive && d.countDone("reconcile") == demoReconcile
 	})
 	return nil
 }
 
-func (d *demo) say(format string, args ...any) { fmt.Fprintf(d.out, "- "+format+"\n", args...) }
+func (d *demo) printStep(format string, args ...any) { fmt.Fprintf(d.out, "- "+format+"\n", args...) }
 
-func (d *demo) breaks(format string, args ...any) {
+func (d *demo) recordViolation(format string, args ...any) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.broken = append(d.broken, fmt.Sprintf(format, args...))
+	d.violations = append(d.violations, fmt.Sprintf(format, args...))
 }
 
 // waitUntil waits until holds returns true. If the demo's time ends first, it
 // records a violation and returns false.
-func (d *demo) until(what string, holds func() bool) bool {
+func (d *demo) waitUntil(what string, holds func() bool) bool {
 	for d.ctx.Err() == nil {
 		if holds() {
 			return true
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	d.breaks("never came: %s", what)
+	d.recordViolation("never came: %s", what)
 	return false
 }
 
 // startEntry runs an entry on free ports.
-func (d *demo) start(id string) error {
+func (d *demo) startEntry(id string) error {
 	callers, peers, err := entry.Listen(entry.AnyPort, entry.AnyPort)
 	if err != nil {
 		return err
@@ -223,19 +223,19 @@
 }
 
 // pickEntry returns the address of the next entry, as a load balancer would.
-func (d *demo) pick() string {
+func (d *demo) pickEntry() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.entries[int(d.next.Add(1))%len(d.entries)].addr
 }
 
-func (d *demo) apply() error {
-	r := &remote{Entry: d.pick()}
+func (d *demo) applyDeclarations() error {
+	r := &remote{Entry: d.pickEntry()}
 	_, _, err := r.call(http.MethodPut, "/v1/declarations", http.Header{"If-Match": {`"0"`}}, []byte(demoDeclarations))
 	if err != nil {
 		return err
 	}
-	d.until("every entry routes", func() bool {
+	d.waitUntil("every entry routes", func() bool {
 		for _, e := range d.entries {
 			if resp, err := http.Get("http://" + e.addr + "/v1/services/vendline/"); err != nil || resp.StatusCode != http.StatusOK {
 				return false
@@ -247,22 +247,22 @@
 }
 
 // replaceEntry starts a new entry and stops an old one as an operator would.
-func (d *demo) replace(i int) error {
+func (d *demo) replaceEntry(i int) error {
 	old := d.entries[i]
-	if err := d.start("entry-new"); err != nil {
+	if err := d.startEntry("entry-new"); err != nil {
 		return err
 	}
 	d.mu.Lock()
 	fresh := d.entries[len(d.entries)-1]
 	d.entries = d.entries[:len(d.entries)-1]
 	d.mu.Unlock()
-	d.until("the new entry routes", func() bool {
+	d.waitUntil("the new entry routes", func() bool {
 		resp, err := http.Get("http://" + fresh.addr + "/v1/services/vendline/")
 		return err == nil && resp.StatusCode == http.StatusOK
 	})
 	// The load balancer removes the old entry once it reports that it is not ready.
 	close(old.stop)
-	d.until("readiness is off", func() bool {
+	d.waitUntil("readiness is off", func() bool {
 		resp, err := http.Get("http://" + old.addr + "/readyz")
 		return err == nil && resp.StatusCode != http.StatusOK
 	})
@@ -273,17 +273,17 @@
 	case err := <-old.done:
 		return err
 	case <-d.ctx.Done():
-		d.breaks("the drained entry did not stop")
+		d.recordViolation("the drained entry did not stop")
 		return nil
 	}
 }
 
 // runCaller sends requests to the service, one after the other.
-func (d *demo) caller(ctx context.Context, n int) {
+func (d *demo) runCaller(ctx context.Context, n int) {
 	for i := 0; ctx.Err() == nil; i++ {
 		body := fmt.Sprintf("caller %d request %d", n, i)
 		started := time.Now()
-		resp, err := http.Post("http://"+d.pick()+"/v1/services/vendline/price", "text/plain", bytes.NewBufferString(body))
+		resp, err := http.Post("http://"+d.pickEntry()+"/v1/services/vendline/price", "text/plain", bytes.NewBufferString(body))
 		var answer []byte
 		if err == nil {
 			answer, err = io.ReadAll(resp.Body)
@@ -297,15 +297,15 @@
 func (l *demoLoad) count(resp *http.Response, answer []byte, err error, body string, took time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.asked++
+	l.sent++
 	switch {
 	case err != nil:
-		l.cut++
+		l.interrupted++
 	case resp.StatusCode == http.StatusOK && bytes.HasSuffix(answer, []byte(body+"\n")):
 		l.answered++
 		_ = l.latency.RecordValue(took.Microseconds())
 	case resp.StatusCode == http.StatusOK:
-		l.cut++
+		l.interrupted++
 	default:
 		var ref entry.Refusal
 		_ = json.Unmarshal(answer, &ref)
@@ -323,21 +323,21 @@
 		})
 	}
 	body, _ := json.Marshal(tasks)
-	r := &remote{Entry: d.pick()}
+	r := &remote{Entry: d.pickEntry()}
 	raw, _, err := r.call(http.MethodPost, "/v1/tasks", nil, body)
 	var answers []entry.TaskAnswer
 	if err != nil || json.Unmarshal(raw, &answers) != nil {
-		d.breaks("submitting %s tasks: %v", app, err)
+		d.recordViolation("submitting %s tasks: %v", app, err)
 	}
 	for _, a := range answers {
 		if a.Code != result.OK {
-			d.breaks("task %s: %v", a.ID, a.Code)
+			d.recordViolation("task %s: %v", a.ID, a.Code)
 		}
 	}
 }
 
 func (d *demo) tasks(app string) []entry.TaskStatus {
-	r := &remote{Entry: d.pick()}
+	r := &remote{Entry: d.pickEntry()}
 	raw, _, err := r.call(http.MethodGet, "/v1/tasks?selector=app%3D"+app, nil, nil)
 	var list []entry.TaskStatus
 	if err != nil || json.Unmarshal(raw, &list) != nil {
@@ -346,7 +346,7 @@
 	return list
 }
 
-func (d *demo) doneOf(app string) int {
+func (d *demo) countDone(app string) int {
 	n := 0
 	for _, t := range d.tasks(app) {
 		if t.Phase == "done" && t.Code == result.OK {
@@ -356,9 +356,9 @@
 	return n
 }
 
-func (d *demo) running() int {
+func (d *demo) countRunning() int {
 	n := 0
-	for _, runs := range d.fleet.Books().Runs {
+	for _, runs := range d.fleet.Records().Runs {
 		for _, r := range runs {
 			if r.State == fleet.AttemptRunning {
 				n++
@@ -369,27 +369,27 @@
 }
 
 // checkRecords compares the stand-ins' records with the guarantees.
-func (d *demo) check() {
-	for _, id := range d.fleet.Books().Overlaps() {
-		d.breaks("task %s ran in two places", id)
+func (d *demo) checkRecords() {
+	for _, id := range d.fleet.Records().Overlaps() {
+		d.recordViolation("task %s ran in two places", id)
 	}
-	if d.load.cut > 0 {
-		d.breaks("%d requests were cut off or got another's answer", d.load.cut)
+	if d.load.interrupted > 0 {
+		d.recordViolation("%d requests were cut off or got another's answer", d.load.interrupted)
 	}
 	for code := range d.load.refused {
 		if code.Family() != result.FamilyNotRun {
-			d.breaks("requests ended with %v", code)
+			d.recordViolation("requests ended with %v", code)
 		}
 	}
 }
 
 // printTable prints the numbers of requests, tasks, evictions and store calls,
 // and records a violation if a task's evictions and resumptions differ.
-func (d *demo) table() {
+func (d *demo) printTable() {
 	tw := tabwriter.NewWriter(d.out, 0, 4, 2, ' ', 0)
 	defer tw.Flush()
 	l := &d.load
-	fmt.Fprintf(tw, "\nrequests\tasked %d\tanswered %d\tcut off %d\n", l.asked, l.answered, l.cut)
+	fmt.Fprintf(tw, "\nrequests\tasked %d\tanswered %d\tcut off %d\n", l.sent, l.answered, l.interrupted)
 	for code, n := range l.refused {
 		fmt.Fprintf(tw, "\trefused %d\t%s\n", n, code)
 	}
@@ -404,16 +404,16 @@
 			resumes += t.Resumes
 		}
 		if evictions != resumes {
-			d.breaks("%s: %d evictions, %d resumed", app, evictions, resumes)
+			d.recordViolation("%s: %d evictions, %d resumed", app, evictions, resumes)
 		}
-		fmt.Fprintf(tw, "%s\t%d\t%d\t%d\t%d\n", app, len(list), d.doneOf(app), evictions, resumes)
+		fmt.Fprintf(tw, "%s\t%d\t%d\t%d\t%d\n", app, len(list), d.countDone(app), evictions, resumes)
 	}
 	calls := d.fleet.KV.Calls()
 	fmt.Fprintf(tw, "\nstore\t%d calls\tof these %d writes\n\n", calls.Total(), calls.Writes())
 }
 
 // printCommands prints commands to try and waits for a signal.
-func (d *demo) keep() {
+func (d *demo) printCommands() {
 	fmt.Fprintf(d.out, "\nTry:\n")
 	for _, cmd := range []string{"members", "get", "status --selector app=archive", "status archive-00"} {
 		fmt.Fprintf(d.out, "  leverstile %s --entry %s\n", cmd, d.entries[0].addr)
--- a/cmd/leverstile/jobsdemo.go
+++ b/cmd/leverstile/jobsdemo.go
@@ -28,21 +28,21 @@
 
 // Limits of the demo.
 const (
-	demoJobWorkers = 3
-	demoJobWork    = 100 * time.Millisecond // run time of a task
-	demoJobWait    = 20 * time.Second       // how long the demo waits for a job state
-	demoMaxLease   = 6 * time.Second
-	demoJobKept    = time.Minute
+	demoJobWorkers   = 3
+	demoTaskTime     = 100 * time.Millisecond // run time of a task
+	demoStateTimeout = 20 * time.Second       // how long the demo waits for a job state
+	demoMaxLease     = 6 * time.Second
+	demoJobRetention = time.Minute
 )
 
 // Execute implements flags.Commander.
 func (c *jobDemo) Execute([]string) error { return runJobsDemo(os.Stdout) }
 
 const (
-	demoShortID = "00000000000000a1"
-	demoLongID  = "00000000000000a2"
-	demoShort   = `{"id":"` + demoShortID + `","queue":"pricing","steps":[{"count":4,"cpu_milli":500},{"count":2,"cpu_milli":500,"after":[0]}]}`
-	demoLong    = `{"id":"` + demoLongID + `","queue":"pricing","steps":[{"count":2,"cpu_milli":500,"lasting":true}]}`
+	demoShortID         = "00000000000000a1"
+	demoLongRunningID   = "00000000000000a2"
+	demoShortSpec       = `{"id":"` + demoShortID + `","queue":"pricing","steps":[{"count":4,"cpu_milli":500},{"count":2,"cpu_milli":500,"after":[0]}]}`
+	demoLongRunningSpec = `{"id":"` + demoLongRunningID + `","queue":"pricing","steps":[{"count":2,"cpu_milli":500,"lasting":true}]}`
 )
 
 func runJobsDemo(out io.Writer) error {
@@ -50,7 +50,7 @@
 	defer store.Server.Close()
 	store.PutQueue(1, "pricing", "vendline")
 	for i := range demoJobWorkers {
-		w := wiretest.NewWorker(store, fmt.Sprintf("worker-%d", i), "vendline", demoJobWork)
+		w := wiretest.NewWorker(store, fmt.Sprintf("worker-%d", i), "vendline", demoTaskTime)
 		defer w.Server.Close()
 	}
 	d := &jobsDemo{out: out}
@@ -58,11 +58,11 @@
 	defer d.running.Wait()
 	defer stop()
 	for i := range 2 {
-		if err := d.start(ctx, fmt.Sprintf("entry-%d", i), store.Address()); err != nil {
+		if err := d.startEntry(ctx, fmt.Sprintf("entry-%d", i), store.Address()); err != nil {
 			return err
 		}
 	}
-	return d.show(ctx)
+	return d.runScenario(ctx)
 }
 
 type jobsDemo struct {
@@ -72,7 +72,7 @@
 }
 
 // start starts an entry in this process.
-func (d *jobsDemo) start(ctx context.Context, name, store string) error {
+func (d *jobsDemo) startEntry(ctx context.Context, name, store string) error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return errors.Trace(err)
@@ -82,7 +82,7 @@
 	client := platform.NewStore(store, set)
 	n := node.New(node.Options{
 		Entry: name, PeerAddress: l.Addr().String(), OperatorPrefix: platform.OperatorPrefix, ConfigKey: platform.ConfigKey, EvacuationPrefix: platform.EvacuationPrefix, DecodeConfig: platform.DecodeConfig,
-		FreezeSlack: demoMaxLease, Params: dispatch.Params{MaxTaskLease: demoMaxLease, JobKept: demoJobKept, RemoteFactor: 1},
+		FreezeSlack: demoMaxLease, Params: dispatch.Params{MaxTaskLease: demoMaxLease, JobKept: demoJobRetention, RemoteFactor: 1},
 	}, node.Ports{Store: client, Lister: client, Workers: platform.NewWorkers(set, 0), Advisor: platform.NewAdvisor("")}, logger, set)
 	srv := &http.Server{Handler: n.PeersHandler(), ReadHeaderTimeout: headerTimeout}
 	d.running.Go(func() { _ = srv.Serve(l) })
@@ -97,20 +97,20 @@
 }
 
 // runScenario submits jobs at one entry and asks the other for their state.
-func (d *jobsDemo) show(ctx context.Context) error {
-	for _, spec := range []string{demoShort, demoLong} {
+func (d *jobsDemo) runScenario(ctx context.Context) error {
+	for _, spec := range []string{demoShortSpec, demoLongRunningSpec} {
 		if err := d.submit(ctx, spec); err != nil {
 			return err
 		}
 	}
 	_, _ = fmt.Fprintf(d.out, "job %s: 4 tasks, then 2 that wait for them; handed in at one entry\n", demoShortID)
-	if err := d.await(ctx, demoShortID, "succeeded"); err != nil {
+	if err := d.awaitState(ctx, demoShortID, "succeeded"); err != nil {
 		return err
 	}
-	if err := d.await(ctx, demoLongID, "running"); err != nil {
+	if err := d.awaitState(ctx, demoLongRunningID, "running"); err != nil {
 		return err
 	}
-	explained, err := d.clients[1].Explain(ctx, connect.NewRequest(&jobsv1.ExplainRequest{Id: demoLongID}))
+	explained, err := d.clients[1].Explain(ctx, connect.NewRequest(&jobsv1.ExplainRequest{Id: demoLongRunningID}))
 	if err != nil {
 		return jobsError(err)
 	}
@@ -120,15 +120,15 @@
 		return jobsError(err)
 	}
 	_, _ = fmt.Fprintf(d.out, "pending in its queue: %d\n", pending.Msg.GetPending())
-	if _, err := d.clients[0].Cancel(ctx, connect.NewRequest(&jobsv1.CancelRequest{Id: demoLongID})); err != nil {
+	if _, err := d.clients[0].Cancel(ctx, connect.NewRequest(&jobsv1.CancelRequest{Id: demoLongRunningID})); err != nil {
 		return jobsError(err)
 	}
-	return d.await(ctx, demoLongID, "cancelled")
+	return d.awaitState(ctx, demoLongRunningID, "cancelled")
 }
 
 // submit submits a job; it retries until the entry has read the configuration.
 func (d *jobsDemo) submit(ctx context.Context, spec string) error {
-	return d.until(func() (bool, error) {
+	return d.waitUntil(func() (bool, error) {
 		resp, err := d.clients[0].Submit(ctx, connect.NewRequest(&jobsv1.SubmitRequest{Spec: []byte(spec)}))
 		if connect.CodeOf(err) == connect.CodeUnavailable {
 			return false, nil
@@ -137,8 +137,8 @@
 	})
 }
 
-func (d *jobsDemo) await(ctx context.Context, id, state string) error {
-	err := d.until(func() (bool, error) {
+func (d *jobsDemo) awaitState(ctx context.Context, id, state string) error {
+	err := d.waitUntil(func() (bool, error) {
 		resp, err := d.clients[1].Get(ctx, connect.NewRequest(&jobsv1.GetRequest{Id: id}))
 		return err == nil && resp.Msg.GetState() == state, nil
 	})
@@ -148,11 +148,11 @@
 	return errors.Annotatef(err, "job %s %s", id, state)
 }
 
-func (d *jobsDemo) until(holds func() (bool, error)) error {
-	for end := time.Now().Add(demoJobWait); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+func (d *jobsDemo) waitUntil(holds func() (bool, error)) error {
+	for end := time.Now().Add(demoStateTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if ok, err := holds(); ok || err != nil {
 			return err
 		}
 	}
-	return errors.Errorf("state not reached within %v", demoJobWait)
+	return errors.Errorf("state not reached within %v", demoStateTimeout)
 }
--- a/cmd/leverstile/jobsdemo_test.go
+++ b/cmd/leverstile/jobsdemo_test.go
@@ -12,7 +12,7 @@
 	if err := runJobsDemo(&out); err != nil {
 		t.Fatal(err)
 	}
-	for _, want := range []string{demoShortID + ": succeeded", demoLongID + ": running", `"phase":"running"`, demoLongID + ": cancelled"} {
+	for _, want := range []string{demoShortID + ": succeeded", demoLongRunningID + ": running", `"phase":"running"`, demoLongRunningID + ": cancelled"} {
 		if !strings.Contains(out.String(), want) {
 			t.Errorf("%q is missing in:\n%s", want, out.String())
 		}
--- a/cmd/leverstile/load.go
+++ b/cmd/leverstile/load.go
@@ -69,10 +69,10 @@
 		report: LoadReport{Codes: map[string]int{}},
 	}
 	started := time.Now()
-	run.drive()
-	run.sum(time.Since(started))
+	run.sendRequests()
+	run.summarize(time.Since(started))
 	if c.Books != "" {
-		if err := run.checkBooks(); err != nil {
+		if err := run.checkRunsByKey(); err != nil {
 			return err
 		}
 	}
@@ -87,7 +87,7 @@
 
 // sendRequests starts each request at its intended time without waiting for
 // answers to earlier ones, and returns when all have ended.
-func (l *loadRun) drive() {
+func (l *loadRun) sendRequests() {
 	rng := rand.New(rand.NewPCG(l.cmd.Seed, 1))
 	start := time.Now()
 	var wg sync.WaitGroup
@@ -114,7 +114,7 @@
 		tries += l.cmd.Repeats
 	}
 	for n := range tries {
-		code, err := l.try(l.targets[(i+n)%len(l.targets)], body, key)
+		code, err := l.send(l.targets[(i+n)%len(l.targets)], body, key)
 		last := n == tries-1 || err == nil && code.Family() != result.FamilyNotRun
 		l.count(intended, code, err, last, key)
 		if last {
@@ -126,7 +126,7 @@
 
 // send sends a request once. An answer with another request's body yields
 // result.PromiseBroken.
-func (l *loadRun) try(target, body, key string) (result.Code, error) {
+func (l *loadRun) send(target, body, key string) (result.Code, error) {
 	url := "http://" + target + "/v1/services/" + l.cmd.Service + "/load"
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
@@ -178,20 +178,20 @@
 	}
 }
 
-func (l *loadRun) sum(took time.Duration) {
+func (l *loadRun) summarize(took time.Duration) {
 	q := func(p float64) float64 { return float64(l.hist.ValueAtQuantile(p)) / 1000 }
 	l.report.P50MS, l.report.P99MS, l.report.P999MS = q(50), q(99), q(99.9)
 	l.report.PerSecond = float64(l.report.Answered) / took.Seconds()
 }
 
 // checkRunsByKey checks in the endpoints' records that no key ran twice.
-func (l *loadRun) checkBooks() error {
+func (l *loadRun) checkRunsByKey() error {
 	resp, err := http.Get("http://" + l.cmd.Books + "/control/books")
 	if err != nil {
 		return errors.Trace(err)
 	}
 	defer resp.Body.Close()
-	var records standin.Books
+	var records standin.Records
 	if err := json.NewDecoder(resp.Body).Decode(&records); err != nil {
 		return errors.Trace(err)
 	}
--- a/cmd/leverstile/losses.go
+++ b/cmd/leverstile/losses.go
@@ -26,7 +26,7 @@
 // Execute implements flags.Commander.
 func (c *lossesCommand) Execute([]string) error {
 	l := newLosses()
-	if err := readLogs(c.Args.Files, l.take); err != nil {
+	if err := readLogs(c.Args.Files, l.recordLine); err != nil {
 		return err
 	}
 	return l.print(os.Stdout)
@@ -37,23 +37,25 @@
 	jobs map[string]*lossJob
 	// takeovers are the times when entries became owner of the cell, outages
 	// the times in which an entry could not reach the store.
-	takeovers []time.Time
-	outages   []outage
-	lost      map[string]time.Time // by entry: start of its current outage
+	takeovers   []time.Time
+	outages     []outage
+	storeLostAt map[string]time.Time // by entry: start of its current outage
 }
 
 type outage struct{ from, to time.Time }
 
 // lossJob is what the logs report of a job.
 type lossJob struct {
-	queue, end string // end is the last part of the job's final event
-	handedIn   time.Time
-	ended      time.Time
-	unrecorded string // why the job was not accepted, "" if it was
-	reasons    map[string]int
+	queue, end  string // end is the last part of the job's final event
+	submittedAt time.Time
+	endedAt     time.Time
+	notAccepted string // why the job was not accepted, "" if it was
+	reasons     map[string]int
 }
 
-func newLosses() *losses { return &losses{jobs: map[string]*lossJob{}, lost: map[string]time.Time{}} }
+func newLosses() *losses {
+	return &losses{jobs: map[string]*lossJob{}, storeLostAt: map[string]time.Time{}}
+}
 
 func (l *losses) job(id string) *lossJob {
 	j := l.jobs[id]
@@ -65,16 +67,16 @@
 }
 
 // recordLine adds a log line.
-func (l *losses) take(line *logLine) {
+func (l *losses) recordLine(line *logLine) {
 	switch line.Event {
 	case "owner_begin":
 		l.takeovers = append(l.takeovers, line.Time)
 	case "store_lost":
-		l.lost[line.Entry] = line.Time
+		l.storeLostAt[line.Entry] = line.Time
 	case "store_regained":
-		if from, ok := l.lost[line.Entry]; ok {
+		if from, ok := l.storeLostAt[line.Entry]; ok {
 			l.outages = append(l.outages, outage{from, line.Time})
-			delete(l.lost, line.Entry)
+			delete(l.storeLostAt, line.Entry)
 		}
 	}
 	if line.Job == "" {
@@ -82,10 +84,10 @@
 	}
 	switch j := l.job(line.Job); line.Event {
 	case "job_submitted":
-		j.submitted(line)
+		j.recordSubmission(line)
 	case "job_succeeded", "job_failed", "job_cancelled":
 		if j.end == "" {
-			j.end, j.ended = line.Event[len("job_"):], line.Time
+			j.end, j.endedAt = line.Event[len("job_"):], line.Time
 		}
 	default:
 		if reason := line.lossReason(); reason != "" {
@@ -94,16 +96,16 @@
 	}
 }
 
-func (j *lossJob) submitted(line *logLine) {
+func (j *lossJob) recordSubmission(line *logLine) {
 	j.queue = line.Queue
-	if j.handedIn.IsZero() || line.Time.Before(j.handedIn) {
-		j.handedIn = line.Time
+	if j.submittedAt.IsZero() || line.Time.Before(j.submittedAt) {
+		j.submittedAt = line.Time
 	}
 	switch {
 	case line.Recorded == "yes":
-		j.unrecorded = ""
-	case j.ended.IsZero() && j.end == "":
-		j.unrecorded = line.Recorded
+		j.notAccepted = ""
+	case j.endedAt.IsZero() && j.end == "":
+		j.notAccepted = line.Recorded
 	}
 }
 
@@ -136,17 +138,17 @@
 }
 
 // duration is the time from submission to the end.
-func (j *lossJob) took() time.Duration { return j.ended.Sub(j.handedIn) }
+func (j *lossJob) duration() time.Duration { return j.endedAt.Sub(j.submittedAt) }
 
 // addSystemEvents adds the takeovers and store outages during the job as reasons.
-func (l *losses) around(j *lossJob) {
+func (l *losses) addSystemEvents(j *lossJob) {
 	for _, at := range l.takeovers {
-		if at.After(j.handedIn) && at.Before(j.ended) {
+		if at.After(j.submittedAt) && at.Before(j.endedAt) {
 			j.reasons["a takeover"]++
 		}
 	}
 	for _, o := range l.outages {
-		if o.from.Before(j.ended) && o.to.After(j.handedIn) {
+		if o.from.Before(j.endedAt) && o.to.After(j.submittedAt) {
 			j.reasons["an entry without the store"]++
 		}
 	}
@@ -156,7 +158,7 @@
 func (l *losses) print(out io.Writer) error {
 	queues := map[string][]*lossJob{}
 	for _, j := range l.jobs {
-		if !j.handedIn.IsZero() {
+		if !j.submittedAt.IsZero() {
 			queues[j.queue] = append(queues[j.queue], j)
 		}
 	}
@@ -178,7 +180,7 @@
 		switch {
 		case j.end != "":
 			count[j.end]++
-		case j.unrecorded != "":
+		case j.notAccepted != "":
 			count["not accepted"]++
 		default:
 			count["not ended"]++
@@ -194,11 +196,11 @@
 	if len(done) == 0 {
 		return nil
 	}
-	slices.SortFunc(done, func(a, b *lossJob) int { return cmp.Compare(b.took(), a.took()) })
+	slices.SortFunc(done, func(a, b *lossJob) int { return cmp.Compare(b.duration(), a.duration()) })
 	slowest := done[:max(int(slowestShare*float64(len(done))), 1)]
 	if _, err := fmt.Fprintf(out, "  hand-in to end: half within %.2f s, 95 of 100 within %.2f s, longest %.2f s; the slowest %d, from %.2f s:\n",
-		done[len(done)/2].took().Seconds(), done[len(done)/20].took().Seconds(), done[0].took().Seconds(),
-		len(slowest), slowest[len(slowest)-1].took().Seconds()); err != nil {
+		done[len(done)/2].duration().Seconds(), done[len(done)/20].duration().Seconds(), done[0].duration().Seconds(),
+		len(slowest), slowest[len(slowest)-1].duration().Seconds()); err != nil {
 		return err
 	}
 	return l.printReasons(out, slowest)
@@ -208,7 +210,7 @@
 func (l *losses) printReasons(out io.Writer, jobs []*lossJob) error {
 	met, times := map[string]int{}, map[string]int{}
 	for _, j := range jobs {
-		l.around(j)
+		l.addSystemEvents(j)
 		for reason, n := range j.reasons {
 			met[reason]++
 			times[reason] += n
--- a/cmd/leverstile/losses_test.go
+++ b/cmd/leverstile/losses_test.go
@@ -25,9 +25,9 @@
 
 // Guards against reasons that are missing for slow jobs or printed for jobs
 // outside the slowest share.
-func TestLossesTellWhatTheSlowestJobsMet(t *testing.T) {
+func TestLossesReportsReasonsOfSlowestJobs(t *testing.T) {
 	l := newLosses()
-	if err := readLog(strings.NewReader(lossesLog), l.take); err != nil {
+	if err := readLog(strings.NewReader(lossesLog), l.recordLine); err != nil {
 		t.Fatal(err)
 	}
 	var out bytes.Buffer
--- a/cmd/leverstile/main_test.go
+++ b/cmd/leverstile/main_test.go
@@ -27,7 +27,7 @@
 
 // TestCheckReportsAllMistakes checks that a file with five mistakes yields five
 // errors and a non-zero exit code.
-func TestCheckTellsAllMistakes(t *testing.T) {
+func TestCheckReportsAllMistakes(t *testing.T) {
 	for name, c := range map[string]struct {
 		args []string
 		text string
--- a/cmd/leverstile/node.go
+++ b/cmd/leverstile/node.go
@@ -35,12 +35,12 @@
 	// drainAcceptTime is how long a draining process accepts new connections:
 	// the platform stops sending them after two missed readiness checks, which
 	// are a second apart.
-	drainListen = 2500 * time.Millisecond
+	drainAcceptTime = 2500 * time.Millisecond
 	// shutdownMargin is the part of the time before SIGKILL that stays unused.
-	drainMargin = 500 * time.Millisecond
+	shutdownMargin = 500 * time.Millisecond
 	// jobRetentionMargin is how long job records are kept beyond the time that
 	// job states must be readable.
-	jobKeptMargin = 30 * time.Second
+	jobRetentionMargin = 30 * time.Second
 	// headerTimeout and idleTimeout bound customers' connections.
 	headerTimeout = 3 * time.Second
 	idleTimeout   = 60 * time.Second
@@ -97,7 +97,7 @@
 		DecodeWave: platform.DecodeWave, WaveStatus: platform.WaveStatus,
 		Params: dispatch.Params{
 			MaxTaskLease: b.MaxTaskLease, OverTarget: b.OverTarget,
-			JobKept: b.JobStateKept + jobKeptMargin, RemoteFactor: max(b.RemoteFactor, 1), PaceAfter: b.PaceAfter,
+			JobKept: b.JobStateKept + jobRetentionMargin, RemoteFactor: max(b.RemoteFactor, 1), PaceAfter: b.PaceAfter,
 			Restore: b.Restore, Maintenance: b.Maintenance, HolderGap: b.HolderGap, MaxWorkerListAge: b.Contact,
 		},
 	}
@@ -189,14 +189,14 @@
 }
 
 func drain(s platform.Settings, n *node.Node, servers []*server) {
-	end := time.Now().Add(s.Bounds.Grace - drainMargin)
+	end := time.Now().Add(s.Bounds.Grace - shutdownMargin)
 	n.Drain()
 	for _, srv := range servers {
 		if srv.name == "callers" {
 			srv.http.SetKeepAlivesEnabled(false)
 		}
 	}
-	time.Sleep(min(drainListen, time.Until(end)))
+	time.Sleep(min(drainAcceptTime, time.Until(end)))
 	ctx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
 	for _, srv := range servers {
--- a/cmd/leverstile/trace.go
+++ b/cmd/leverstile/trace.go
@@ -38,7 +38,7 @@
 }
 
 // contextEvents are events that explain a job's outcome without naming the job.
-var surroundings = map[string]bool{
+var contextEvents = map[string]bool{
 	"store_lost": true, "store_regained": true, "owner_begin": true, "owner_end": true, "owner_loaded": true,
 	"recovery_begun": true, "recovery_done": true, "owner_suspended": true, "owner_resumed": true, "lease_lost": true,
 	"deposed": true, "config_in_force": true, "signal": true, "start": true, "stop": true,
@@ -47,7 +47,7 @@
 // Execute implements flags.Commander.
 func (c *traceCommand) Execute([]string) error {
 	t := tracer{job: c.Job, out: os.Stdout}
-	if err := readLogs(c.Args.Files, t.take); err != nil {
+	if err := readLogs(c.Args.Files, t.processLine); err != nil {
 		return err
 	}
 	return t.summary()
@@ -84,11 +84,11 @@
 }
 
 // maxLineBytes bounds the length of a log line.
-const longestLine = 1 << 20
+const maxLineBytes = 1 << 20
 
 func readLog(in io.Reader, handle func(*logLine)) error {
 	scan := bufio.NewScanner(in)
-	scan.Buffer(nil, longestLine)
+	scan.Buffer(nil, maxLineBytes)
 	for scan.Scan() {
 		text := scan.Text()
 		start := strings.IndexByte(text, '{')
@@ -104,13 +104,13 @@
 	return scan.Err()
 }
 
-func (t *tracer) take(l *logLine) {
+func (t *tracer) processLine(l *logLine) {
 	ofJob := l.Job == t.job || strings.HasSuffix(l.Key, "/"+t.job)
-	if !ofJob && (t.first.IsZero() || !surroundings[l.Event] && !t.endsWorker(l)) {
+	if !ofJob && (t.first.IsZero() || !contextEvents[l.Event] && !t.isEndOfJobWorker(l)) {
 		return
 	}
 	if ofJob {
-		t.note(l)
+		t.recordLine(l)
 	}
 	mark := "  "
 	if !ofJob {
@@ -120,9 +120,11 @@
 }
 
 // isEndOfJobWorker reports whether a line records the end of a worker that ran the job.
-func (t *tracer) endsWorker(l *logLine) bool { return l.Event == "worker_ended" && t.workers[l.Worker] }
+func (t *tracer) isEndOfJobWorker(l *logLine) bool {
+	return l.Event == "worker_ended" && t.workers[l.Worker]
+}
 
-func (t *tracer) note(l *logLine) {
+func (t *tracer) recordLine(l *logLine) {
 	if t.first.IsZero() {
 		t.first, t.events, t.workers = l.Time, map[string]int{}, map[string]bool{}
 	}
--- a/cmd/leverstile/trace_test.go
+++ b/cmd/leverstile/trace_test.go
@@ -20,7 +20,7 @@
 func TestTraceFollowsOneJob(t *testing.T) {
 	var out bytes.Buffer
 	tr := tracer{job: "aa", out: &out}
-	if err := readLog(strings.NewReader(traceLog), tr.take); err != nil {
+	if err := readLog(strings.NewReader(traceLog), tr.processLine); err != nil {
 		t.Fatal(err)
 	}
 	if err := tr.summary(); err != nil {
@@ -54,10 +54,10 @@
 
 // TestTraceShowsWorkerCrashes checks that the end of a worker is printed if the
 // job ran on it, and not otherwise.
-func TestTraceTellsCrashes(t *testing.T) {
+func TestTraceShowsWorkerCrashes(t *testing.T) {
 	var out bytes.Buffer
 	tr := tracer{job: "aa", out: &out}
-	if err := readLog(strings.NewReader(crashLog), tr.take); err != nil {
+	if err := readLog(strings.NewReader(crashLog), tr.processLine); err != nil {
 		t.Fatal(err)
 	}
 	if err := tr.summary(); err != nil {
--- a/standin/kvstore.go
+++ b/standin/kvstore.go
@@ -48,14 +48,14 @@
 	expires time.Time
 }
 
-type logged struct {
+type loggedChange struct {
 	rev    int64
 	events []kv.Event
 }
 
 // maxLoggedChanges is how many changes are kept for watches that start at a past
 // revision.
-const maxLogged = 10_000
+const maxLoggedChanges = 10_000
 
 // KVStore is an in-memory key-value service with compare-and-swap, leases and
 // watches. It implements kv.Store itself and is served over HTTP by KVHandler.
@@ -67,7 +67,7 @@
 	data      map[string]kv.Pair
 	leases    map[int64]*lease
 	nextLease int64
-	log       []logged
+	log       []loggedChange
 	changed   chan struct{}
 	faults    KVFaults
 	calls     KVCalls
@@ -88,7 +88,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
-	s.wake()
+	s.notify()
 }
 
 // Faults returns the injected faults.
@@ -112,14 +112,14 @@
 	s.dropLease(id)
 }
 
-func (s *KVStore) wake() {
+func (s *KVStore) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
 // beforeCall counts a call and injects the faults that precede it. The caller
 // holds no lock.
-func (s *KVStore) enter(ctx context.Context, count *int) error {
+func (s *KVStore) beforeCall(ctx context.Context, count *int) error {
 	s.mu.Lock()
 	*count++
 	f := s.faults
@@ -138,7 +138,7 @@
 }
 
 // afterWrite injects the fault of a lost answer. The caller holds the lock.
-func (s *KVStore) leave() error {
+func (s *KVStore) afterWrite() error {
 	if s.faults.LoseAnswers == 0 {
 		return nil
 	}
@@ -147,7 +147,7 @@
 }
 
 // expireLeases drops the leases whose time has passed. The caller holds the lock.
-func (s *KVStore) expire() {
+func (s *KVStore) expireLeases() {
 	now := s.now()
 	for id, l := range s.leases {
 		if now.After(l.expires) {
@@ -186,21 +186,21 @@
 }
 
 func (s *KVStore) publish(evs []kv.Event) {
-	s.log = append(s.log, logged{rev: s.rev, events: evs})
-	if len(s.log) > maxLogged {
-		s.log = append([]logged(nil), s.log[len(s.log)-maxLogged/2:]...)
+	s.log = append(s.log, loggedChange{rev: s.rev, events: evs})
+	if len(s.log) > maxLoggedChanges {
+		s.log = append([]loggedChange(nil), s.log[len(s.log)-maxLoggedChanges/2:]...)
 	}
-	s.wake()
+	s.notify()
 }
 
 // Range implements kv.Store.
 func (s *KVStore) Range(ctx context.Context, prefix string) ([]kv.Pair, int64, error) {
-	if err := s.enter(ctx, &s.calls.Range); err != nil {
+	if err := s.beforeCall(ctx, &s.calls.Range); err != nil {
 		return nil, 0, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
+	s.expireLeases()
 	return s.read(kv.GetPrefix(prefix)), s.rev, nil
 }
 
@@ -223,21 +223,21 @@
 
 // Do implements kv.Store.
 func (s *KVStore) Do(ctx context.Context, txn kv.Txn) (kv.TxnResult, error) {
-	if err := s.enter(ctx, &s.calls.Txn); err != nil {
+	if err := s.beforeCall(ctx, &s.calls.Txn); err != nil {
 		return kv.TxnResult{}, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
+	s.expireLeases()
 	res, err := s.apply(txn)
 	if err != nil {
 		return kv.TxnResult{}, err
 	}
-	return res, s.leave()
+	return res, s.afterWrite()
 }
 
 func (s *KVStore) apply(txn kv.Txn) (kv.TxnResult, error) {
-	ops, ok := txn.Then, s.holds(txn.If)
+	ops, ok := txn.Then, s.conditionsHold(txn.If)
 	if !ok {
 		ops = txn.Else
 	}
@@ -280,7 +280,7 @@
 	return kv.Event{Pair: p}
 }
 
-func (s *KVStore) holds(conds []kv.Compare) bool {
+func (s *KVStore) conditionsHold(conds []kv.Compare) bool {
 	for _, c := range conds {
 		p, ok := s.data[c.Key]
 		if c.Missing && ok {
@@ -295,35 +295,35 @@
 
 // Grant implements kv.Store.
 func (s *KVStore) Grant(ctx context.Context, ttl time.Duration) (int64, error) {
-	if err := s.enter(ctx, &s.calls.Grant); err != nil {
+	if err := s.beforeCall(ctx, &s.calls.Grant); err != nil {
 		return 0, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.nextLease++
 	s.leases[s.nextLease] = &lease{ttl: ttl, expires: s.now().Add(ttl)}
-	return s.nextLease, s.leave()
+	return s.nextLease, s.afterWrite()
 }
 
 // KeepAlive implements kv.Store.
 func (s *KVStore) KeepAlive(ctx context.Context, id int64) error {
-	if err := s.enter(ctx, &s.calls.KeepAlive); err != nil {
+	if err := s.beforeCall(ctx, &s.calls.KeepAlive); err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
+	s.expireLeases()
 	l := s.leases[id]
 	if l == nil {
 		return errors.Trace(kv.ErrLeaseNotFound)
 	}
 	l.expires = s.now().Add(l.ttl)
-	return s.leave()
+	return s.afterWrite()
 }
 
 // Revoke implements kv.Store.
 func (s *KVStore) Revoke(ctx context.Context, id int64) error {
-	if err := s.enter(ctx, &s.calls.Revoke); err != nil {
+	if err := s.beforeCall(ctx, &s.calls.Revoke); err != nil {
 		return err
 	}
 	s.mu.Lock()
@@ -332,7 +332,7 @@
 		return errors.Trace(kv.ErrLeaseNotFound)
 	}
 	s.dropLease(id)
-	return s.leave()
+	return s.afterWrite()
 }
 
 // expiryPoll is how often a waiting watch checks for expired leases.
@@ -340,12 +340,12 @@
 
 // Watch implements kv.Store.
 func (s *KVStore) Watch(ctx context.Context, prefix string, after int64, handle func(int64, []kv.Event)) error {
-	if err := s.enter(ctx, &s.calls.Watch); err != nil {
+	if err := s.beforeCall(ctx, &s.calls.Watch); err != nil {
 		return err
 	}
 	for {
 		s.mu.Lock()
-		s.expire()
+		s.expireLeases()
 		if s.faults.Down {
 			s.mu.Unlock()
 			return errors.Annotate(kv.ErrUnavailable, "down by fault")
@@ -354,7 +354,7 @@
 			s.mu.Unlock()
 			return errors.Trace(kv.ErrCompacted)
 		}
-		evs := s.since(prefix, after)
+		evs := s.eventsSince(prefix, after)
 		after = s.rev
 		rev, changed := s.rev, s.changed
 		s.mu.Unlock()
@@ -370,7 +370,7 @@
 	}
 }
 
-func (s *KVStore) since(prefix string, after int64) []kv.Event {
+func (s *KVStore) eventsSince(prefix string, after int64) []kv.Event {
 	i := sort.Search(len(s.log), func(i int) bool { return s.log[i].rev > after })
 	var out []kv.Event
 	for _, l := range s.log[i:] {
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -25,7 +25,7 @@
 	}
 	timeout := time.NewTimer(time.Duration(req.WaitMS) * time.Millisecond)
 	defer timeout.Stop()
-	tick := time.NewTicker(workerTick)
+	tick := time.NewTicker(reportPollInterval)
 	defer tick.Stop()
 	for len(reply.Ended) == 0 && len(reply.Usage) == 0 && len(reply.Slowdowns) == 0 && reply.Refused == "" {
 		select {
@@ -41,7 +41,7 @@
 }
 
 // reportPollInterval is how often a waiting call checks for updates.
-const workerTick = 20 * time.Millisecond
+const reportPollInterval = 20 * time.Millisecond
 
 // Report returns the state of the worker for a request that was applied before.
 // It refuses if a newer request has been applied since.
@@ -79,13 +79,13 @@
 	Slots     int
 	ServiceMS int
 
-	mu     sync.Mutex
-	inUse  int
-	peak   int
-	full   int
-	runs   map[string]int // by Idempotency-Key
-	total  int
-	faults EndpointFaults
+	mu          sync.Mutex
+	inUse       int
+	peak        int
+	refusedFull int
+	runs        map[string]int // by Idempotency-Key
+	total       int
+	faults      EndpointFaults
 }
 
 // NewEndpoint returns an idle endpoint.
@@ -102,7 +102,7 @@
 
 // EndpointRecord counts the requests of an endpoint: all that ran, the peak of
 // concurrent ones, those refused as full, and the runs by Idempotency-Key.
-type EndpointBook struct {
+type EndpointRecord struct {
 	Total int            `json:"total"`
 	Peak  int            `json:"peak"`
 	Full  int            `json:"full"`
@@ -110,10 +110,10 @@
 }
 
 // Record returns a copy of the endpoint's counts.
-func (e *Endpoint) Book() EndpointBook {
+func (e *Endpoint) Record() EndpointRecord {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	b := EndpointBook{Total: e.total, Peak: e.peak, Full: e.full, Runs: map[string]int{}}
+	b := EndpointRecord{Total: e.total, Peak: e.peak, Full: e.refusedFull, Runs: map[string]int{}}
 	for k, n := range e.runs {
 		b.Runs[k] = n
 	}
@@ -121,14 +121,14 @@
 }
 
 // acquireSlot takes a slot. It returns why that is refused, or "", and the faults.
-func (e *Endpoint) begin(key string) (string, EndpointFaults) {
+func (e *Endpoint) acquireSlot(key string) (string, EndpointFaults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.faults.Leaving {
 		return "leaving", e.faults
 	}
 	if e.inUse >= e.Slots {
-		e.full++
+		e.refusedFull++
 		return "full", e.faults
 	}
 	e.inUse++
@@ -140,7 +140,7 @@
 	return "", e.faults
 }
 
-func (e *Endpoint) end() {
+func (e *Endpoint) releaseSlot() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.inUse--
@@ -148,13 +148,13 @@
 
 // ServeHTTP implements http.Handler.
 func (e *Endpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	reason, faults := e.begin(r.Header.Get("Idempotency-Key"))
+	reason, faults := e.acquireSlot(r.Header.Get("Idempotency-Key"))
 	if reason != "" {
 		w.Header().Set("Leverstile-Not-Run", reason)
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	defer e.end()
+	defer e.releaseSlot()
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
@@ -185,18 +185,18 @@
 	Workers   map[string]*Worker
 	Endpoints map[string]*Endpoint
 
-	mu      sync.Mutex
-	vms     []fleet.VM
-	lagging []laggingList
-	lag     time.Duration
-	start   time.Time
-	servers map[string]*http.Server
+	mu           sync.Mutex
+	vms          []fleet.VM
+	listVersions []listVersion
+	listLag      time.Duration
+	start        time.Time
+	servers      map[string]*http.Server
 }
 
 // listVersion is the VM list since a time; VMs returns it after the lag.
-type laggingList struct {
-	at  time.Time
-	vms []fleet.VM
+type listVersion struct {
+	publishedAt time.Time
+	vms         []fleet.VM
 }
 
 // FleetSpec describes a Fleet. All VMs have the same size.
@@ -220,7 +220,7 @@
 func NewFleet(spec FleetSpec) (*Fleet, error) {
 	f := &Fleet{
 		KV: NewKVStore(time.Now), Workers: map[string]*Worker{}, Endpoints: map[string]*Endpoint{},
-		lag: spec.ListLag, start: time.Now(), servers: map[string]*http.Server{},
+		listLag: spec.ListLag, start: time.Now(), servers: map[string]*http.Server{},
 	}
 	var err error
 	if f.KVAddress, err = f.serve("kv", spec.KVListen, KVHandler(f.KV)); err != nil {
@@ -231,7 +231,7 @@
 			return nil, err
 		}
 	}
-	f.publish()
+	f.publishList()
 	f.Address, err = f.serve("list", spec.ListListen, f.handler())
 	return f, err
 }
@@ -293,19 +293,19 @@
 }
 
 // publishList makes the current list visible after the lag.
-func (f *Fleet) publish() {
+func (f *Fleet) publishList() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.lagging = append(f.lagging, laggingList{time.Now(), append([]fleet.VM(nil), f.vms...)})
+	f.listVersions = append(f.listVersions, listVersion{time.Now(), append([]fleet.VM(nil), f.vms...)})
 }
 
 // VMs returns the list as the platform reports it, delayed by the lag.
 func (f *Fleet) VMs() []fleet.VM {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	list := f.lagging[0].vms
-	for _, l := range f.lagging {
-		if time.Since(l.at) >= f.lag {
+	list := f.listVersions[0].vms
+	for _, l := range f.listVersions {
+		if time.Since(l.publishedAt) >= f.listLag {
 			list = l.vms
 		}
 	}
@@ -321,7 +321,7 @@
 		}
 	}
 	f.mu.Unlock()
-	f.publish()
+	f.publishList()
 }
 
 // StopVM ends a VM at once: it closes the worker and the endpoint and removes
@@ -337,7 +337,7 @@
 	f.vms = rest
 	servers := []*http.Server{f.servers["worker "+id], f.servers["endpoint "+id]}
 	f.mu.Unlock()
-	f.publish()
+	f.publishList()
 	for _, s := range servers {
 		if s != nil {
 			_ = s.Close()
@@ -358,15 +358,15 @@
 }
 
 // Records is what all stand-ins have recorded, for checks of guarantees.
-type Books struct {
-	Endpoints map[string]EndpointBook `json:"endpoints"`
-	Runs      map[string][]Run        `json:"runs"`
-	KV        KVCalls                 `json:"kv"`
+type Records struct {
+	Endpoints map[string]EndpointRecord `json:"endpoints"`
+	Runs      map[string][]Run          `json:"runs"`
+	KV        KVCalls                   `json:"kv"`
 }
 
 // Overlaps returns the tasks that have two runs which overlap in time: they ran
 // in two places at once.
-func (b Books) Overlaps() []string {
+func (b Records) Overlaps() []string {
 	byTask := map[string][]Run{}
 	for _, runs := range b.Runs {
 		for _, r := range runs {
@@ -388,10 +388,10 @@
 }
 
 // Records returns the records of all stand-ins.
-func (f *Fleet) Books() Books {
-	records := Books{Endpoints: map[string]EndpointBook{}, Runs: map[string][]Run{}, KV: f.KV.Calls()}
+func (f *Fleet) Records() Records {
+	records := Records{Endpoints: map[string]EndpointRecord{}, Runs: map[string][]Run{}, KV: f.KV.Calls()}
 	for id, e := range f.Endpoints {
-		records.Endpoints[id] = e.Book()
+		records.Endpoints[id] = e.Record()
 	}
 	for id, w := range f.Workers {
 		w.Running(f.clock())
@@ -421,7 +421,7 @@
 func (f *Fleet) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+fleet.PathVMs, f.serveVMs)
-	mux.HandleFunc("GET /control/books", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, f.Books()) })
+	mux.HandleFunc("GET /control/books", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, f.Records()) })
 	mux.HandleFunc("PUT /control/kv", func(w http.ResponseWriter, r *http.Request) {
 		var in KVFaults
 		if readJSON(w, r, &in) {
--- a/standin/worker.go
+++ b/standin/worker.go
@@ -19,11 +19,11 @@
 	// NoTermCheck, NoExpiryCheck, NoSeqCheck and NoBootCheck switch off a fence
 	// against outdated requests, and NoCapacityCheck the check of the VM's
 	// capacity; tests use them to show that their checks detect a missing fence.
-	NoTermCheck   bool `json:"-"`
-	NoExpiryCheck bool `json:"-"`
-	NoSeqCheck    bool `json:"-"`
-	NoBootCheck   bool `json:"-"`
-	NoRoomCheck   bool `json:"-"`
+	NoTermCheck     bool `json:"-"`
+	NoExpiryCheck   bool `json:"-"`
+	NoSeqCheck      bool `json:"-"`
+	NoBootCheck     bool `json:"-"`
+	NoCapacityCheck bool `json:"-"`
 }
 
 // Job is the payload of a stand-in task. Work is the run time in milliseconds of
@@ -51,7 +51,7 @@
 	done      time.Duration // work done until updated
 	updated   time.Duration
 	throttled bool
-	began     time.Duration
+	startedAt time.Duration
 	run       *Run
 }
 
@@ -73,7 +73,7 @@
 	Capacity fleet.Resources
 	// EnforceLimits applies an attempt's limits to what it uses: with less
 	// processor time it runs slower, with less memory it fails.
-	Guards bool
+	EnforceLimits bool
 
 	mu      sync.Mutex
 	boot    uint64
@@ -87,13 +87,13 @@
 	// numbers of running tasks by kind.
 	SlowdownOf func(kinds map[string]int, now time.Duration) []fleet.Slowdown
 	// SampleLag is the delay after which samples of Measure reach the owner.
-	SampleLag time.Duration
-	reports   []delayedReport
+	SampleLag      time.Duration
+	pendingSamples []delayedSamples
 }
 
 // delayedSamples are samples that replies contain from a time on.
-type delayedReport struct {
-	at        time.Duration
+type delayedSamples struct {
+	visibleAt time.Duration
 	usage     []fleet.Usage
 	slowdowns []fleet.Slowdown
 }
@@ -161,7 +161,7 @@
 
 func (w *Worker) clock(now time.Duration) time.Duration { return now - w.booted + time.Second }
 
-func (w *Worker) wake() {
+func (w *Worker) notify() {
 	close(w.changed)
 	w.changed = make(chan struct{})
 }
@@ -173,31 +173,31 @@
 	for _, s := range w.cells {
 		leaseEnd := s.leaseUntil + w.booted - time.Second
 		for ref, a := range s.running {
-			end, state := w.endOf(a, leaseEnd)
+			end, state := w.projectedEnd(a, leaseEnd)
 			if end > now {
 				a.progress(now, w.speed(a))
 				continue
 			}
 			a.progress(end, w.speed(a))
-			w.end(s, ref, a, end, state)
+			w.endAttempt(s, ref, a, end, state)
 			changed = true
 		}
 	}
 	if changed {
-		w.wake()
+		w.notify()
 	}
 }
 
 // projectedEnd returns when and how an attempt ends if no request changes it.
-func (w *Worker) endOf(a *attempt, leaseEnd time.Duration) (time.Duration, fleet.AttemptState) {
+func (w *Worker) projectedEnd(a *attempt, leaseEnd time.Duration) (time.Duration, fleet.AttemptState) {
 	left := time.Duration(a.job.WorkMS)*time.Millisecond - a.done
-	starved := w.Guards && a.job.Used.MemoryMiB > a.Given.MemoryMiB
+	starved := w.EnforceLimits && a.job.Used.MemoryMiB > a.Given.MemoryMiB
 	if starved {
 		left = time.Duration(a.job.WorkMS)*time.Millisecond/2 - a.done
 	}
 	done := a.updated + time.Duration(float64(max(left, 0))/w.speed(a))
 	if done >= leaseEnd {
-		return max(leaseEnd, a.began), fleet.AttemptStopped
+		return max(leaseEnd, a.startedAt), fleet.AttemptStopped
 	}
 	if a.job.Fails || starved || w.faults.FailEverything {
 		return done, fleet.AttemptFailed
@@ -211,7 +211,7 @@
 	if a.throttled {
 		speed /= throttleDivisor
 	}
-	if w.Guards && a.job.Used.CPUMilli > a.Given.CPUMilli {
+	if w.EnforceLimits && a.job.Used.CPUMilli > a.Given.CPUMilli {
 		speed *= float64(a.Given.CPUMilli) / float64(a.job.Used.CPUMilli)
 	}
 	return speed
@@ -225,7 +225,7 @@
 	a.updated = now
 }
 
-func (w *Worker) end(s *session, ref fleet.AttemptRef, a *attempt, at time.Duration, state fleet.AttemptState) {
+func (w *Worker) endAttempt(s *session, ref fleet.AttemptRef, a *attempt, at time.Duration, state fleet.AttemptState) {
 	delete(s.running, ref)
 	a.run.Ended, a.run.State = at, state
 	r := fleet.Report{AttemptRef: ref, State: state}
@@ -246,15 +246,15 @@
 		reply.Refused = fleet.RefusedCell
 		return reply
 	}
-	if !w.takes(s, req) {
+	if !w.accepts(s, req) {
 		reply.Refused = fleet.RefusedStale
 		return reply
 	}
 	s.term, s.seq = req.Term, req.Seq
-	refused := w.obey(now, s, req)
+	refused := w.applyRequest(now, s, req)
 	w.report(now, s, req, reply)
 	reply.Ended = append(reply.Ended, refused...)
-	w.wake()
+	w.notify()
 	return reply
 }
 
@@ -276,20 +276,20 @@
 	return s
 }
 
-func (w *Worker) takes(s *session, req *fleet.SyncRequest) bool {
+func (w *Worker) accepts(s *session, req *fleet.SyncRequest) bool {
 	if req.Term != s.term {
 		return req.Term > s.term || w.faults.NoTermCheck
 	}
 	return req.Seq > s.seq || w.faults.NoSeqCheck
 }
 
-func (w *Worker) obey(now time.Duration, s *session, req *fleet.SyncRequest) []fleet.Report {
+func (w *Worker) applyRequest(now time.Duration, s *session, req *fleet.SyncRequest) []fleet.Report {
 	for _, ref := range req.Acks {
 		delete(s.ended, ref)
 	}
 	for _, ref := range req.Stops {
 		if a := s.running[ref]; a != nil {
-			w.end(s, ref, a, now, fleet.AttemptStopped)
+			w.endAttempt(s, ref, a, now, fleet.AttemptStopped)
 		}
 	}
 	throttled := map[fleet.AttemptRef]bool{}
@@ -323,10 +323,10 @@
 	if _, ended := s.ended[st.AttemptRef]; ended {
 		return true
 	}
-	if !current || !w.faults.NoRoomCheck && !st.Given.Add(w.held()).Fits(w.Capacity) {
+	if !current || !w.faults.NoCapacityCheck && !st.Given.Add(w.resourcesInUse()).Fits(w.Capacity) {
 		return false
 	}
-	a := &attempt{Start: st, updated: now, began: now}
+	a := &attempt{Start: st, updated: now, startedAt: now}
 	_ = json.Unmarshal(st.Payload, &a.job)
 	if w.faults.FailEverything {
 		a.job.WorkMS = 0
@@ -339,7 +339,7 @@
 	return true
 }
 
-func (w *Worker) held() fleet.Resources {
+func (w *Worker) resourcesInUse() fleet.Resources {
 	var sum fleet.Resources
 	for _, s := range w.cells {
 		for _, a := range s.running {
@@ -361,20 +361,20 @@
 	}
 	sortReports(reply.Running)
 	sortReports(reply.Ended)
-	w.deliver(now, reply)
+	w.addDueSamples(now, reply)
 }
 
-func (w *Worker) deliver(now time.Duration, reply *fleet.SyncReply) {
-	var late []delayedReport
-	for _, d := range w.reports {
-		if d.at > now {
+func (w *Worker) addDueSamples(now time.Duration, reply *fleet.SyncReply) {
+	var late []delayedSamples
+	for _, d := range w.pendingSamples {
+		if d.visibleAt > now {
 			late = append(late, d)
 			continue
 		}
 		reply.Usage = append(reply.Usage, d.usage...)
 		reply.Slowdowns = append(reply.Slowdowns, d.slowdowns...)
 	}
-	w.reports = late
+	w.pendingSamples = late
 }
 
 func sortReports(r []fleet.Report) {
@@ -393,7 +393,7 @@
 	defer w.mu.Unlock()
 	w.advance(now)
 	at := w.clock(now).Milliseconds()
-	d := delayedReport{at: now + w.SampleLag}
+	d := delayedSamples{visibleAt: now + w.SampleLag}
 	kinds := map[string]int{}
 	for _, s := range w.cells {
 		for _, a := range s.running {
@@ -414,5 +414,5 @@
 			d.slowdowns[i].AtMS = at
 		}
 	}
-	w.reports = append(w.reports, d)
+	w.pendingSamples = append(w.pendingSamples, d)
 }
