--- a/node/contact.go
+++ b/node/contact.go
@@ -8,18 +8,20 @@
 	"leverstile.dev/dispatch"
 )
 
-// Figures of the contact with workers.
+// Limits and intervals of the calls to workers.
 const (
 	// freezeMargin is added to the platform's slack for late timers before a
 	// pause counts as a freeze.
 	freezeMargin = 200 * time.Millisecond
-	// slotWait is how long an order may wait to be sent: a start must arrive
+	// slotTimeout is how long an order may wait to be sent: a start must arrive
 	// 1.4 s after it was decided, tries included.
 	slotWait = 500 * time.Millisecond
-	// repollPause is the least pause between looks for workers without a poller.
+	// repollInterval is the least pause between checks for workers without a poller.
 	repollPause = 50 * time.Millisecond
 )
 
+// syncPollers starts a poller for each worker that has none, and ends those of workers
+// that are gone.
 func (o *owner) syncPollers() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -45,7 +47,7 @@
 	}
 }
 
-// awaitedFirst puts workers that a recovery waits for before all others.
+// awaitedFirst sorts workers that a recovery waits for before all others.
 func (o *owner) awaitedFirst(ids []dispatch.WorkerID) []dispatch.WorkerID {
 	slices.SortStableFunc(ids, func(a, b dispatch.WorkerID) int {
 		return awaitedRank(o.core, a) - awaitedRank(o.core, b)
@@ -61,7 +63,7 @@
 }
 
 // pollersLoop starts and ends pollers when workers come and go between two reads of the
-// list. Many at once, as when a data centre is lost, are one look at all workers.
+// list. Many changes at once, as when a data centre is lost, take one check of all workers.
 func (o *owner) pollersLoop() {
 	for {
 		select {
@@ -76,7 +78,7 @@
 	}
 }
 
-// pollLoop keeps the leases at one worker and reads its lists.
+// pollLoop renews the leases at one worker and reads its lists.
 func (o *owner) pollLoop(ctx context.Context, id dispatch.WorkerID) {
 	for ctx.Err() == nil {
 		var plan dispatch.PollPlan
@@ -89,7 +91,7 @@
 			}
 		})
 		if plan.Gone {
-			signal(o.repoll) // its next life may be known
+			signal(o.repoll) // its next incarnation may be known
 			return
 		}
 		if !plan.Send {
@@ -112,11 +114,11 @@
 	}
 }
 
-// send makes one call to a worker and takes in the answer.
+// send makes one call to a worker and processes the answer.
 func (o *owner) send(order dispatch.Order) {
 	if order.Kind != dispatch.OrderStop {
 		if !o.awaitSlot() {
-			// Never sent. The core decides anew, on what it knows by now.
+			// Never sent. The core decides anew, with its current state.
 			o.locked(func(c *dispatch.Core, now dispatch.Instant) {
 				c.OrderDone(order, dispatch.Answer{Outcome: dispatch.OutcomeNotSent}, now)
 			})
@@ -137,8 +139,8 @@
 	}
 }
 
-// awaitSlot waits for one of the calls that may be under way at once. It reports
-// false after slotWait: the order is out of date then.
+// awaitSlot waits until another call may be in flight. It reports
+// false after slotTimeout: the order is out of date then.
 func (o *owner) awaitSlot() bool {
 	select {
 	case o.slots <- struct{}{}:
@@ -159,11 +161,11 @@
 	return sent
 }
 
-// noteWaited takes in how long an order waited to be sent.
+// recordWait records how long an order waited to be sent.
 func (o *owner) noteWaited(d time.Duration) {
 	for {
-		most := o.waited.Load()
-		if int64(d) <= most || o.waited.CompareAndSwap(most, int64(d)) {
+		longest := o.waited.Load()
+		if int64(d) <= longest || o.waited.CompareAndSwap(longest, int64(d)) {
 			return
 		}
 	}
@@ -185,8 +187,8 @@
 	return false
 }
 
-// noticeFreeze suspends orders if the process did not run for a while: the
-// lease may be over. The next renewal resumes them.
+// detectFreeze suspends orders if the process did not run for a while, since the
+// lease may have expired. The next renewal resumes them.
 func (o *owner) noticeFreeze() {
 	now := o.node.clock()
 	if pause := now - o.lastAlive; pause > tickPause+o.node.opts.FreezeSlack+freezeMargin && !o.suspended {
@@ -196,7 +198,7 @@
 	o.lastAlive = max(o.lastAlive, now)
 }
 
-// ask makes one call to the placement policy; others wait their turn.
+// requestAdvice makes one call to the placement policy; others wait their turn.
 func (o *owner) ask(req dispatch.AdviceRequest) {
 	o.asking.Lock()
 	good, err := o.node.advisor.Advise(o.ctx, req)
--- a/node/election.go
+++ b/node/election.go
@@ -13,46 +13,47 @@
 	"leverstile.dev/kv"
 )
 
-// Figures of the ownership lease.
+// Timeouts and intervals of the ownership lease and of elections.
 const (
-	// ownerTTL is the lease of the owner at the store. Renewals are half a
-	// second apart, so four may be refused.
+	// ownerTTL is the time to live of the owner's lease at the store. Renewals are half
+	// a second apart, so four may be refused.
 	ownerTTL = 2500 * time.Millisecond
-	// ownerRenew is the pause between renewals, ownerRenewRetry that after one that failed.
+	// renewInterval is the pause between renewals, renewRetryInterval that after one that
+	// failed.
 	ownerRenew      = 500 * time.Millisecond
 	ownerRenewRetry = 100 * time.Millisecond
-	// renewTry bounds a renewal, so that two may be lost on connections that have fallen
-	// silent and the third is still in time.
+	// renewTimeout bounds a renewal, so that two may be lost on connections that have
+	// fallen silent and the third is still in time.
 	renewTry = 700 * time.Millisecond
-	// ownerHorizon after its last renewal, an owner that does not reach the
-	// store gives no more orders. It outlasts the users' outages of the store
-	// (9 s), so that running tasks keep their leases. Another owner is kept
-	// apart by the term, which workers check.
+	// ownerHorizon is the time after its last renewal from which an owner that does not
+	// reach the store gives no more orders. It outlasts the users' outages of the store
+	// (9 s), so that running tasks keep their leases. The term, which workers check,
+	// separates it from another owner.
 	ownerHorizon = 12 * time.Second
-	// electionRetry bounds the back-off of failed elections.
+	// electionRetryMin and electionRetryMax bound the back-off of failed elections.
 	electionRetryMin = 50 * time.Millisecond
 	electionRetryMax = 800 * time.Millisecond
 )
 
-// leadRecord is the value of leadKey.
+// leadRecord is the value of leadKey: it names the owner of the cell.
 type leadRecord struct {
 	Entry   string `json:"entry"`
 	Address string `json:"address"`
 	Term    uint64 `json:"term"`
-	// Session tells two lives of an entry apart.
+	// Session distinguishes two processes that ran one after the other as the same entry.
 	Session string `json:"session"`
 }
 
-// election keeps one owner for the cell.
+// election is this entry's part in the election, which keeps one owner for the cell.
 type election struct {
 	node    *Node
 	session string
 }
 
-// leadState is what is known of the owner's key.
+// leadState is the last known state of the owner's key.
 type leadState struct {
 	lead *leadRecord // nil if nobody owns the cell
-	// modRevision is that of the key, 0 if it isn't there; revision is the store's,
+	// modRevision is the key's, 0 if the key is missing; revision is the store's,
 	// from which the key is watched.
 	modRevision, revision int64
 }
@@ -76,7 +77,7 @@
 	return nil
 }
 
-// round takes over once it is this entry's turn, and owns the cell until the ownership
+// round waits until this entry may take over, and then owns the cell until the ownership
 // ends.
 func (e *election) round(ctx context.Context) error {
 	s, err := e.awaitTurn(ctx)
@@ -93,9 +94,9 @@
 	return err
 }
 
-// awaitTurn follows who owns the cell until this entry may take over: nobody has owned
-// it for the entry's delay, or an earlier life of the entry does. A VM runs one process,
-// so that life is over.
+// awaitTurn watches who owns the cell until this entry may take over: nobody has owned
+// it for the entry's delay, or an earlier process of the entry does. A VM runs one
+// process, so the earlier one has ended.
 func (e *election) awaitTurn(ctx context.Context) (leadState, error) {
 	s, err := e.readLead(ctx)
 	for err == nil {
@@ -117,7 +118,7 @@
 	return s, err
 }
 
-// readLead reads the owner's key alone: all entries do so when they start, and the
+// readLead reads only the owner's key: all entries do so when they start, and the
 // records beside it grow with the number of workers.
 func (e *election) readLead(ctx context.Context) (leadState, error) {
 	pairs, revision, err := e.node.store.Range(ctx, leadKey)
@@ -139,13 +140,13 @@
 	if err != nil || p == nil {
 		return 0, 0, errors.Trace(err)
 	}
-	// Without it a new owner could give orders under an old term.
+	// An unreadable term is an error: a new owner could give orders under an old term.
 	term, err = strconv.ParseUint(string(p.Value), 10, 64)
 	return term, p.ModRevision, errors.Annotate(err, termKey)
 }
 
-// decodeLead reads who owns the cell. A damaged record under a lease is of some
-// owner that will go with it; one without a lease is nobody's.
+// decodeLead reads who owns the cell. A damaged record under a lease belongs to some
+// owner and expires with it; one without a lease belongs to nobody.
 func (n *Node) decodeLead(p kv.Pair) *leadRecord {
 	lead := &leadRecord{}
 	err := json.Unmarshal(p.Value, lead)
@@ -159,10 +160,10 @@
 	return &leadRecord{}
 }
 
-// awaitChange follows the owner's key until it changes, for most at the longest where
-// that is not 0. It returns what the key holds then.
-func (e *election) awaitChange(ctx context.Context, s leadState, most time.Duration) (after leadState, changed bool, err error) {
-	wctx, cancel := withMost(ctx, most)
+// awaitChange watches the owner's key until it changes, for no longer than limit unless
+// that is 0. It returns what the key holds then.
+func (e *election) awaitChange(ctx context.Context, s leadState, limit time.Duration) (after leadState, changed bool, err error) {
+	wctx, cancel := withMost(ctx, limit)
 	defer cancel()
 	err = e.watchLead()(wctx, leadKey, s.revision, func(at int64, events []kv.Event) {
 		s.revision = at
@@ -182,8 +183,9 @@
 	}
 }
 
-// watchLead returns how the owner's key is watched: a weak VM, which takes over if there is
-// no other, need not hear of a change at once where the store leaves its watch unanswered.
+// watchLead returns how the owner's key is watched. A weak VM, which takes over only if
+// there is no other, need not learn of a change at once where the store leaves its watch
+// unanswered.
 func (e *election) watchLead() watchFunc {
 	if handicap(e.node.opts.ProcessorShare) > 0 {
 		return e.node.store.WatchPatiently
@@ -191,15 +193,15 @@
 	return e.node.store.Watch
 }
 
-// withMost is context.WithTimeout, without a timeout if most is 0.
-func withMost(ctx context.Context, most time.Duration) (context.Context, context.CancelFunc) {
-	if most == 0 {
+// withOptionalTimeout is context.WithTimeout, without a timeout if limit is 0.
+func withMost(ctx context.Context, limit time.Duration) (context.Context, context.CancelFunc) {
+	if limit == 0 {
 		return context.WithCancel(ctx)
 	}
-	return context.WithTimeout(ctx, most)
+	return context.WithTimeout(ctx, limit)
 }
 
-// takeLead takes in changes of the owner's key, and reports whether there were any.
+// applyLeadEvents applies changes of the owner's key, and reports whether there were any.
 func (e *election) takeLead(s *leadState, events []kv.Event) bool {
 	changed := false
 	for _, ev := range events {
@@ -222,12 +224,12 @@
 	lease    int64
 	leadRev  int64
 	chainRev int64
-	// renewed is when the last renewal that was answered was sent.
+	// renewed is when the last answered renewal was sent.
 	renewed time.Duration
 }
 
 // acquire tries to become the owner. It returns nil without an error if
-// another entry was faster.
+// another entry won.
 func (e *election) acquire(ctx context.Context, s leadState) (*ownership, error) {
 	term, termRev, err := e.readTerm(ctx)
 	if err != nil {
@@ -259,8 +261,8 @@
 		},
 	})
 	if err != nil {
-		// The next round sees whether it took effect; a lease that is not
-		// used lapses.
+		// The next round finds out whether the write took effect; an unused lease
+		// expires.
 		return nil, errors.Trace(err)
 	}
 	if !res.Succeeded {
--- a/node/node.go
+++ b/node/node.go
@@ -19,13 +19,14 @@
 	// Entry names this VM; PeerAddress is where other entries reach it.
 	Entry, PeerAddress string
 	Params             dispatch.Params
-	MinLeaseTTL        time.Duration
+	// MinLeaseTTL is the shortest lease that the store grants.
+	MinLeaseTTL time.Duration
 	// ProcessorShare is this VM's part of a core; weak VMs stand for election
-	// later. 0 is not known.
+	// later. 0 means unknown.
 	ProcessorShare float64
-	// LinkBytes is what this VM's link carries a second; 0 is not known.
+	// LinkBytes is the capacity of this VM's link in bytes per second; 0 means unknown.
 	LinkBytes float64
-	// DrainNotice is the time within which a worker that drains must get no new
+	// DrainNotice is the time within which a draining worker must stop getting new
 	// work.
 	DrainNotice time.Duration
 	// FreezeSlack is the pause of the process beyond which its lease is
@@ -35,17 +36,18 @@
 	// key of their configuration below it.
 	OperatorPrefix, ConfigKey string
 	// EvacuationPrefix is where the operators name data centres whose workers get
-	// no new tasks while the key is there.
+	// no new tasks while the key exists.
 	EvacuationPrefix string
 	DecodeConfig     func([]byte) (*job.Config, error)
-	// DecodeWave reads a wave of upkeep; ok is false for keys of other things.
-	// It may be nil where there are none.
+	// DecodeWave reads a maintenance wave; ok is false for keys that hold anything
+	// else. It may be nil where there are no waves.
 	DecodeWave func(key string, value []byte) (wave dispatch.Wave, ok bool, err error)
-	// WaveStatus returns the key and value that tell the operators of a wave.
+	// WaveStatus returns the key and value that report a wave's result to the operators.
 	WaveStatus func(number int64, succeeded bool) (key string, value []byte)
 }
 
-// Node is an entry process that schedules jobs.
+// Node is an entry process: it accepts jobs and takes part in the election, and it
+// schedules the cell's jobs while it is the owner.
 type Node struct {
 	opts    Options
 	store   *storeHealth
@@ -62,25 +64,25 @@
 	lead     atomic.Pointer[leadRecord]
 	draining atomic.Bool
 	drained  chan struct{} // closed by Drain
-	// sparing is set while the owner lacks processor time: routine decisions
+	// skipRoutineLogs is set while the owner lacks processor time: routine decisions
 	// are counted, not logged.
 	sparing atomic.Bool
 	peers   *http.Client
 	pending pendingCache
 	wall    wallClock
 	waves   waveList
-	// badEntries are entries of workers, badKeys other keys that can't be read;
-	// unusable is the number of the former.
+	// badEntries are unusable entries of workers, badKeys other keys that can't be
+	// read; unusable is the number of the former.
 	badEntries, badKeys complaints
 	unusable            atomic.Int64
-	// evacuations is what is known of evacuated data centres.
+	// evacuations are the evacuated data centres that this entry has a record of.
 	evacuations evacuationList
-	hints       chan struct{} // holds one value a hint under way
-	// relays are entries that the store has answered of late; relayed is set while one of
-	// them makes calls for this one.
+	hints       chan struct{} // holds one value per hint in progress
+	// relays are entries that the store has answered recently; relayed is set while one of
+	// them makes store calls for this one.
 	relays  relayList
 	relayed atomic.Bool
-	// crowdedUntil is until when short jobs are to be admitted by the owner.
+	// crowdedUntil is the time until which short jobs need admission by the owner.
 	crowdedUntil atomic.Int64
 }
 
@@ -98,10 +100,11 @@
 	return n
 }
 
-// clock is the steady clock of the process. It counts the time for which the VM was
-// suspended: a lease at the store runs out meanwhile.
+// clock is the steady clock of the process. It includes time for which the VM was
+// suspended, since a lease at the store expires meanwhile.
 func (n *Node) clock() time.Duration { return n.steady.Now() }
 
+// instant returns the steady clock and the time of day that decisions use.
 func (n *Node) instant() dispatch.Instant {
 	steady := n.clock()
 	ms, adopted := n.wall.read(steady, time.Now().UnixMilli())
@@ -116,8 +119,8 @@
 	return (&election{node: n}).run(ctx)
 }
 
-// Drain makes the node not ready and hands over what it owns. Calls are served
-// on.
+// Drain makes the node not ready and hands over an ownership. The node keeps serving
+// calls.
 func (n *Node) Drain() {
 	if n.draining.CompareAndSwap(false, true) {
 		close(n.drained)
@@ -146,7 +149,7 @@
 	n.log.Warn().Str("event", "store_lost").Err(err).Msg("")
 }
 
-// logDecision writes a line for a decision of the core.
+// logDecision logs a decision of the core.
 func (n *Node) logDecision(d dispatch.Decision) {
 	n.metrics.decisions.Inc()
 	if d.Routine() && n.sparing.Load() {
@@ -181,7 +184,7 @@
 	e.Msg("")
 }
 
-// endLease gives a lease back; one that can't be reached lapses by itself.
+// endLease revokes a lease; one that can't be revoked expires by itself.
 func (n *Node) endLease(lease int64) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
--- a/node/owner.go
+++ b/node/owner.go
@@ -13,37 +13,37 @@
 	"leverstile.dev/kv"
 )
 
-// Figures of the owner's loops.
+// Limits and intervals of the owner's loops.
 const (
-	// tickPause is the pause between ticks of the core.
+	// tickInterval is the pause between ticks of the core.
 	tickPause = 100 * time.Millisecond
-	// schedulePause bounds how often the core schedules.
+	// scheduleInterval is the shortest pause between scheduling passes of the core.
 	schedulePause = 8 * time.Millisecond
-	// mostOrders under way at once; more wait. At 1,000 starts a second and 5 ms
-	// a call there are 5. Stops and polls don't wait: what runs must not be lost.
+	// maxOrders is the most orders in flight at once; more wait. At 1,000 starts a second
+	// and 5 ms a call, 5 are in flight. Stops and polls don't wait: running tasks must not
+	// be lost.
 	mostOrders = 256
-	// On a small link fewer are under way: what it carries in linkAhead, at
-	// orderBytes a start, mostly the job's payload. A call is given up after 400
-	// ms and sent again: with 256 under way on 2 Mbit/s, 1,205 calls got no answer
-	// in the first 4 s and 291 starts were confirmed, and leases lapsed since
-	// polls came late. With this bound 0.17 instead of 0.05 of the work was
-	// served there, and none lapsed on a calm day; half and twice of linkAhead
-	// give the same.
+	// On a small link fewer orders are in flight: as many as it carries in linkWindow, at
+	// orderBytes a start, mostly the job's payload. A call times out after 400 ms and is
+	// sent again: with 256 in flight on 2 Mbit/s, 1,205 calls got no answer in the first
+	// 4 s, 291 starts were confirmed, and leases expired since polls came late. With this
+	// bound 0.17 instead of 0.05 of the work was served there, and no lease expired on a
+	// day without faults; half and twice of linkWindow give the same result.
 	linkAhead  = 100 * time.Millisecond
 	orderBytes = 2700
-	// leastOrders are under way however small the link.
+	// minOrders may be in flight however small the link.
 	leastOrders = 8
-	// handOverWrites is the most writes at a handover: one of flushRecords jobs mostly
-	// holds all. The first is refused if the one that the end of the ownership broke
-	// off was carried out all the same.
+	// maxHandoverWrites is the most writes at a handover: one of maxFlushRecords jobs
+	// mostly holds all. The first is refused if the write that the end of the ownership
+	// aborted was carried out nevertheless.
 	handOverWrites = 4
-	// abortPause is the pause before calls that are still under way at the end of an
-	// ownership are broken off again.
+	// abortInterval is the pause before calls that are still in flight at the end of an
+	// ownership are aborted again.
 	abortPause = 20 * time.Millisecond
 )
 
-// ordersFor returns how many orders may be under way on a link that carries so
-// many bytes a second; 0 is not known.
+// orderLimit returns how many orders may be in flight on a link of so many bytes per
+// second; 0 means unknown.
 func ordersFor(linkBytes float64) int {
 	if linkBytes <= 0 {
 		return mostOrders
@@ -60,10 +60,10 @@
 	node *Node
 	own  *ownership
 
-	// writing is held during a write of progress; it is taken before mu. It guards
-	// unsure, which is set if the newest write may have been carried out without an
-	// answer, rosterMarked, which is set once the store tells that the roster is in
-	// parts, and removal.
+	// writing is held during a write of progress and is locked before mu. It guards
+	// lastWriteUnknown, which is set if the newest write may have been carried out without
+	// an answer, rosterMarked, which is set once the store records that the roster is
+	// stored in parts, and removal.
 	writing      sync.Mutex
 	unsure       bool
 	rosterMarked bool
@@ -74,24 +74,24 @@
 	// firstPolls paces the first poll of each worker: after a takeover all are due at once.
 	firstPolls *pacer
 
-	// slots holds a value for each start or change of pace under way.
+	// slots holds a value for each start or change of pace in flight.
 	slots chan struct{}
-	// waited is the longest that an order waited to be sent since the last tick,
-	// in nanoseconds.
+	// longestWait is the longest time that an order waited to be sent since the last
+	// tick, in nanoseconds.
 	waited   atomic.Int64
 	wake     chan struct{} // the core has something to schedule
 	flushNow chan struct{}
-	repoll   chan struct{} // a poller has ended since its worker is gone
+	repoll   chan struct{} // a poller has ended because its worker is gone
 	ctx      context.Context
 	stop     context.CancelCauseFunc
-	// asking is held by the one call to the placement policy at a time that
-	// it takes of a VM.
+	// adviceMu serializes calls to the placement policy, which takes one call of a VM
+	// at a time.
 	asking  sync.Mutex
 	running sync.WaitGroup
-	// lastAlive is when the process last proved to itself that it runs.
+	// lastAlive is when the process was last observed to run.
 	lastAlive time.Duration
-	// waveRecords is what the store held of waves at the takeover, by key. It is
-	// not changed after the core is in place.
+	// waveRecords are the stored records of maintenance waves at the takeover, by key.
+	// They don't change after the core is in place.
 	waveRecords map[string][]byte
 	suspended   bool
 }
@@ -133,7 +133,7 @@
 	return nil
 }
 
-// end stops all that decides and sends. Once it returns, nothing more is sent
+// end stops everything that decides and sends. Once it returns, nothing more is sent
 // under this term.
 func (o *owner) end() {
 	o.node.current.CompareAndSwap(o, nil)
@@ -144,8 +144,8 @@
 		o.running.Wait()
 		close(over)
 	}()
-	// Long polls would hold up the next election for seconds. A call that waited
-	// for a connection begins only when others are broken off.
+	// Long polls would delay the next election by seconds. A call that waited for a
+	// connection starts only when others are aborted.
 	for {
 		o.node.workers.Abort()
 		select {
@@ -156,11 +156,11 @@
 	}
 }
 
-// handOver writes what waits and gives up the lease, so that the next owner
-// need not wait for it to lapse. It comes after end: the call that gives up the
+// handOver writes unwritten changes and revokes the lease, so that the next owner
+// need not wait for it to expire. It comes after end: the call that revokes the
 // lease may take effect a second before its answer comes, and until then the
-// core counts the lease as sure. Jobs handed in meanwhile would be started by both
-// owners. Leases at workers outlast the handover.
+// core counts the lease as held for certain. Jobs submitted meanwhile would be started
+// by both owners. Leases at workers outlast the handover.
 func (o *owner) handOver() {
 	ctx, cancel := context.WithTimeout(context.Background(), flushTimeout)
 	defer cancel()
@@ -172,7 +172,7 @@
 	o.node.endLease(o.own.lease)
 }
 
-// unwritten reports whether something waits to be written.
+// unwritten reports whether changes of the core are still to be written.
 func (o *owner) unwritten() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -181,7 +181,7 @@
 
 func (o *owner) now() dispatch.Instant { return o.node.instant() }
 
-// locked runs f on the core and sends the orders that it leads to, until the
+// locked runs f on the core and sends the orders that result from it, until the
 // ownership ends.
 func (o *owner) locked(f func(c *dispatch.Core, now dispatch.Instant)) {
 	o.mu.Lock()
@@ -189,7 +189,7 @@
 	f(o.core, now)
 	orders := o.core.TakeOrders()
 	asks := o.core.TakeAdviceRequests()
-	upkeeps := o.core.TakeMaintenanceOrders()
+	maintenanceOrders := o.core.TakeMaintenanceOrders()
 	dirty := o.core.Dirty() || o.core.RosterStale()
 	deposed := o.core.Deposed()
 	o.mu.Unlock()
@@ -208,11 +208,12 @@
 	for _, ask := range asks {
 		o.running.Go(func() { o.ask(ask) })
 	}
-	for _, order := range upkeeps {
+	for _, order := range maintenanceOrders {
 		o.running.Go(func() { o.beginUpkeep(order) })
 	}
 }
 
+// signal wakes the loop that reads c, unless a signal is pending already.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -220,8 +221,8 @@
 	}
 }
 
-// renewLoop renews the lease. An owner that the store does not answer goes on
-// until the horizon; one whose lease is over stops at once.
+// renewLoop renews the lease. An owner that gets no answer from the store continues
+// until ownerHorizon; one whose lease has expired stops at once.
 func (o *owner) renewLoop() {
 	for {
 		sent := o.node.clock()
@@ -248,6 +249,7 @@
 	}
 }
 
+// renewed records a successful renewal that was sent at the given time.
 func (o *owner) renewed(sent time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -261,9 +263,9 @@
 	}
 }
 
-// aliveLoop notices freezes, from the first moment of an ownership on: reading the
-// state of 2,670 workers takes 0.9 s, which looked like a freeze afterwards, and
-// the first poll waited up to 0.5 s for the next renewal.
+// freezeLoop detects freezes from the start of an ownership on: reading the
+// state of 2,670 workers takes 0.9 s, which would look like a freeze afterwards, and
+// the first poll would wait up to 0.5 s for the next renewal.
 func (o *owner) aliveLoop() {
 	for sleep(o.ctx, tickPause) {
 		o.mu.Lock()
@@ -272,6 +274,7 @@
 	}
 }
 
+// tickLoop ticks the core and reports to it how late the process runs.
 func (o *owner) tickLoop() {
 	for began := o.node.clock(); sleep(o.ctx, tickPause); began = o.node.clock() {
 		late := max(o.node.clock()-began-tickPause, time.Duration(o.waited.Swap(0)))
@@ -284,7 +287,7 @@
 	}
 }
 
-// scheduleLoop schedules after events, several at once.
+// scheduleLoop schedules after events, several of them at once.
 func (o *owner) scheduleLoop() {
 	for {
 		select {
--- a/node/wallclock.go
+++ b/node/wallclock.go
@@ -5,33 +5,34 @@
 	"time"
 )
 
-// Figures of the guard against jumps of the time of day.
+// Limits of the guard against jumps of the time of day.
 const (
-	// jumpLeast tells a jump from the slow corrections of a clock that is kept.
+	// minJump is the least difference that counts as a jump; less is a slow correction
+	// of a synchronized clock.
 	jumpLeast = 300 * time.Millisecond
-	// jumpHold is how long a jump must last before it is believed. Clocks that jump
+	// jumpConfirmation is how long a jump must last before it is adopted. Clocks that jump
 	// by mistake come back within seconds; one that an operator has set does not.
 	jumpHold = 30 * time.Second
 )
 
-// wallClock reads the time of day and holds off its jumps: timed jobs would start
-// early by a jump ahead, and late by one back. Its lock guards all fields.
+// wallClock reads the time of day and delays the adoption of its jumps: timed jobs would
+// start early after a jump forward, and late after one back. Its lock guards all fields.
 //
 // A process that starts while its clock is wrong has nothing to compare it with
-// and believes it until it comes back.
+// and uses it until it is corrected.
 type wallClock struct {
 	mu sync.Mutex
-	// offset is the time of day over the steady clock, milliseconds; known is set
+	// offset is the time of day minus the steady clock in milliseconds; known is set
 	// once it was read.
 	offset int64
 	known  bool
-	// jumpedAt is when the reading began to differ, while it does.
+	// jumpedAt is when the reading began to differ; it is valid while jumped is set.
 	jumpedAt time.Duration
 	jumped   bool
 }
 
-// read returns the time of day to go by, for a reading of both clocks, and the
-// jump that was believed now, if one was.
+// read returns the time of day to use for a reading of both clocks, and the jump that
+// this call adopted, 0 if none.
 func (w *wallClock) read(steady time.Duration, wallMS int64) (ms int64, adopted time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
