--- a/node/backoff.go
+++ b/node/backoff.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// backoff is exponential with full jitter in its upper half.
+// backoff yields exponentially growing pauses, with random jitter over their upper half.
 type backoff struct {
 	least, most time.Duration
 	n           int
--- a/node/load.go
+++ b/node/load.go
@@ -14,9 +14,8 @@
 	"leverstile.dev/kv"
 )
 
-// Bounds of the back-off of reads of the store.
 const (
-	// loadRetry is the longest pause between tries to read the store at
+	// loadRetryMin and loadRetryMax bound the pause between tries to read the store at
 	// takeover.
 	loadRetryMin = 50 * time.Millisecond
 	loadRetryMax = 500 * time.Millisecond
@@ -79,7 +78,7 @@
 	workers               dispatch.WorkerList
 }
 
-// rangeRead is a range of the store that is read once.
+// rangeRead is a range of the store that is read successfully once.
 type rangeRead struct {
 	done     bool
 	pairs    []kv.Pair
@@ -95,12 +94,12 @@
 	return err
 }
 
-// readState reads all parts at once, and those again that could not be read before.
+// readState reads all parts concurrently; a further call reads those that failed before.
 // Their order does not matter: only the owner writes the first two, and its predecessors
 // no longer can; changes of the third are watched. Evacuations and workers are read anew
 // each time.
 func (n *Node) readState(ctx context.Context, s *storedState) error {
-	var group errgroup.Group // a part that fails leaves the others be
+	var group errgroup.Group // without a context: a part that fails does not stop the others
 	group.Go(func() error { return s.own.read(ctx, n.store, ownPrefix) })
 	group.Go(func() error { return s.progress.read(ctx, n.store, progressPrefix) })
 	group.Go(func() error { return s.intake.read(ctx, n.store, intakePrefix) })
@@ -122,7 +121,7 @@
 	return group.Wait()
 }
 
-// takeKnown reads what the previous owner knew of tasks and workers beside the roster.
+// recoverRecords reads the previous owner's records of tasks and workers other than the roster.
 func (n *Node) takeKnown(core *dispatch.Core, own []kv.Pair) {
 	for _, p := range own {
 		switch p.Key {
@@ -132,17 +131,17 @@
 			}
 		case learntKey:
 			if err := core.TakeLearnt(p.Value); err != nil {
-				// It only saves time: the new owner learns again.
+				// The record only saves time: the new owner learns again.
 				n.noteUnreadable("learnt_unreadable", p.Key, p.ModRevision, err)
 			}
 		}
 	}
 }
 
-// loadJobs takes in the stored jobs. One whose record or progress is damaged is
-// left alone, with a line: it is not known which of its tasks are done, and to
-// start one again may do its work twice. It blocks no other, and stays in the
-// store; once it is mended, the next owner takes it in.
+// loadJobs adds the stored jobs to the core. One whose record or progress is damaged is
+// held and logged: it is unknown which of its tasks are done, and starting one again
+// may do its work twice. It blocks no other job and stays in the store; once its record
+// is repaired, the next owner adds it.
 func (n *Node) loadJobs(core *dispatch.Core, progress, intake []kv.Pair, now dispatch.Instant) {
 	stored := make(map[string]kv.Pair, len(progress))
 	for _, p := range progress {
@@ -176,6 +175,7 @@
 	}
 }
 
+// decodeProgress reads a job's progress and checks it against its specification.
 func decodeProgress(p kv.Pair, spec *job.Spec) (*job.Progress, error) {
 	progress, err := dispatch.DecodeProgress(p.Value)
 	if err != nil {
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -6,8 +6,7 @@
 	"leverstile.dev/dispatch"
 )
 
-// nodeMetrics are the counters and gauges of an entry; docs/METRICS.md tells what
-// each means.
+// nodeMetrics are the counters and gauges of an entry; docs/METRICS.md explains each.
 type nodeMetrics struct {
 	set           *metrics.Set
 	flush         *metrics.Histogram
@@ -21,8 +20,7 @@
 	configVersion *metrics.Gauge
 }
 
-// registerMetrics registers the counters, and the gauges that are read when they
-// are asked for.
+// registerMetrics registers the counters, and the gauges that are read on demand.
 func (n *Node) registerMetrics(set *metrics.Set) {
 	n.metrics = nodeMetrics{
 		set:         set,
@@ -73,8 +71,8 @@
 	}
 }
 
-// registerLoadMetrics exposes the owner's load, the room that it keeps, and the
-// workers that get nothing.
+// registerLoadMetrics exposes the owner's load, its reserved capacity, and the workers
+// that are excluded from new tasks.
 func (n *Node) registerLoadMetrics() {
 	n.ownerGauge("leverstile_worker_crashes", func(c *dispatch.Core) float64 { return float64(c.Stats().Crashes) })
 	n.ownerGauge("leverstile_worker_restarts", func(c *dispatch.Core) float64 { return float64(c.Stats().Restarts) })
@@ -89,8 +87,8 @@
 		return late.Seconds()
 	})
 	n.ownerGauge("leverstile_kept_cores", func(c *dispatch.Core) float64 {
-		kept, _ := c.ReservedCPU()
-		return float64(kept) / milliPerCore
+		reserved, _ := c.ReservedCPU()
+		return float64(reserved) / milliPerCore
 	})
 	n.ownerGauge("leverstile_short_demand_cores", func(c *dispatch.Core) float64 {
 		_, demand := c.ReservedCPU()
@@ -103,7 +101,7 @@
 	}
 }
 
-// milliPerCore turns thousandths of a core into cores.
+// milliPerCore is the number of millicores in a core.
 const milliPerCore = 1000
 
 // ownerGauge registers a gauge that is read from the core while this entry is the
--- a/node/pacer.go
+++ b/node/pacer.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// Figures of pacer.
+// Limits and intervals of pacer.
 const (
-	// pacedPause is the time between two batches.
+	// batchInterval is the time between two batches.
 	pacedPause = 5 * time.Millisecond
-	// pacedLate is how late a pause may end in a process that keeps up.
+	// maxLateness is how late a pause may end in a process that keeps up.
 	pacedLate = 30 * time.Millisecond
-	// leastBatch and mostBatch bound a batch; batchGrowth is added after a pause that ended
-	// on time. The least goes on beside other load that makes the process late.
+	// minBatch and maxBatch bound a batch; batchGrowth is added after a pause that ended
+	// on time. minBatch starts even beside other load that makes the process late.
 	leastBatch  = 16
 	mostBatch   = 256
 	batchGrowth = 4
 )
 
-// pacer lets callers that come all at once begin in batches, as fast as the process keeps up.
-// What begins beyond that waits for the process itself, and counts as unanswered although its
-// peer is well.
+// pacer starts callers that arrive all at once in batches, as fast as the process keeps up.
+// What starts beyond that waits for the process itself, and counts as unanswered although its
+// peer works.
 //
-// It does not bound how many are under way: peers that are silent hold up no others.
+// It does not bound how many are in flight: silent peers delay no others.
 type pacer struct {
 	clock func() time.Duration
-	// yield returns once all that was ready to run has had its turn.
+	// yield returns once everything that was ready to run has had its turn.
 	yield func()
 
 	mu      sync.Mutex // guards what follows
@@ -39,7 +39,7 @@
 	return &pacer{clock: clock, yield: yield, batch: leastBatch}
 }
 
-// join takes a place behind all who wait; the channel is closed once it is the caller's turn.
+// join queues the caller; the channel is closed once it is the caller's turn.
 func (p *pacer) join() <-chan struct{} {
 	turn := make(chan struct{})
 	p.mu.Lock()
@@ -52,19 +52,19 @@
 	return turn
 }
 
-// run lets batches begin until nobody waits.
+// run starts batches until nobody waits.
 func (p *pacer) run() {
 	for p.begin() {
 		began := p.clock()
 		time.Sleep(pacedPause)
-		// A goroutine that a timer wakes runs before all others that are ready: a process
-		// whose run queue grows still sees its timers on time.
+		// A goroutine that a timer wakes runs before all others that are ready: without
+		// yield, a process whose run queue grows still sees its timers on time.
 		p.yield()
 		p.adapt(p.clock() - began - pacedPause)
 	}
 }
 
-// begin lets a batch begin. It reports false if nobody waited.
+// begin starts a batch. It reports false if nobody waited.
 func (p *pacer) begin() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -77,7 +77,7 @@
 	return p.running
 }
 
-// adapt takes in how late a pause ended.
+// adapt sets the size of the next batch from how late a pause ended.
 func (p *pacer) adapt(late time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/node/record.go
+++ b/node/record.go
@@ -10,20 +10,20 @@
 	"leverstile.dev/kv"
 )
 
-// Figures of the writes of progress.
+// Limits and intervals of the writes of progress.
 const (
-	// flushPause gathers changes of progress into one write.
+	// flushInterval is the pause after a write, which collects changes for the next one.
 	flushPause = 40 * time.Millisecond
-	// flushPauseBehind is the same while more jobs wait than one write takes:
+	// flushIntervalBehind is the same while more jobs wait than one write takes:
 	// at most 70 writes a second, of 400 that the store takes.
 	flushPauseBehind = 10 * time.Millisecond
-	// flushRecords is the most records and parts of the roster in one write: the store
+	// maxFlushRecords is the most records and parts of the roster in one write: the store
 	// takes 32 entries, of which two are conditions and six other keys.
 	flushRecords = 24
-	// flushRosterParts is the most parts of the roster in one write, 5 KB each.
+	// maxFlushRosterParts is the most parts of the roster in one write, 5 KB each.
 	flushRosterParts = 8
-	// idleFlush is the pause after which a flush is tried without news: for what
-	// was learnt, and for the last records to be removed.
+	// idleFlushInterval is the pause after which a flush is tried without updates: for
+	// what was learnt, and for the last records to be removed.
 	idleFlush = 3 * time.Second
 	// flushTimeout bounds one write; a slow store takes 400 ms.
 	flushTimeout = 700 * time.Millisecond
@@ -61,7 +61,7 @@
 	}
 }
 
-// flush writes once; it reports whether the store took it, or nothing waited.
+// flush writes once; it reports whether the store accepted the write, or nothing waited.
 func (o *owner) flush(ctx context.Context) bool {
 	o.writing.Lock()
 	defer o.writing.Unlock()
@@ -79,9 +79,9 @@
 	if now := o.now(); err == nil && o.core.LearntDue(now) {
 		learnt, err = o.core.Learnt(now)
 	}
-	var unheard []byte
+	var unread []byte
 	if err == nil {
-		unheard, err = o.core.Unread()
+		unread, err = o.core.Unread()
 	}
 	var wave *dispatch.WaveRecord
 	if err == nil {
@@ -92,15 +92,15 @@
 		o.node.log.Error().Str("event", "record_unwritable").Err(err).Msg("")
 		return false
 	}
-	if len(records) == 0 && len(roster) == 0 && unheard == nil && wave == nil {
-		// What was learnt is due at each idle flush; old records must not wait
-		// for one without it.
+	if len(records) == 0 && len(roster) == 0 && unread == nil && wave == nil {
+		// What was learnt is due at each idle flush; the removal of old records must not
+		// wait for a flush without it.
 		if removed := o.removeExpired(ctx); !removed || learnt == nil {
 			return removed
 		}
 	}
 	began := o.node.clock()
-	ok := o.write(ctx, append(o.recordOps(records, roster, unheard, learnt), o.node.waveOps(wave)...))
+	ok := o.write(ctx, append(o.recordOps(records, roster, unread, learnt), o.node.waveOps(wave)...))
 	o.node.metrics.flush.UpdateDuration(time.Now().Add(began - o.node.clock()))
 	if !ok {
 		return false
@@ -111,7 +111,7 @@
 		c.Persisted(records)
 		startsWait = c.HasUnsentStarts()
 		c.RosterStored(roster)
-		c.UnreadStored(unheard)
+		c.UnreadStored(unread)
 		if wave != nil {
 			c.WavePersisted(wave)
 		}
@@ -122,10 +122,12 @@
 	return true
 }
 
-func (o *owner) recordOps(records []dispatch.Record, roster []dispatch.RosterPart, unheard, learnt []byte) []kv.Op {
+// recordOps returns the writes of the given records of jobs, parts of the roster, unread
+// workers and learnt values.
+func (o *owner) recordOps(records []dispatch.Record, roster []dispatch.RosterPart, unread, learnt []byte) []kv.Op {
 	var ops []kv.Op
-	if unheard != nil {
-		ops = append(ops, kv.Put(unheardKey, unheard, 0))
+	if unread != nil {
+		ops = append(ops, kv.Put(unheardKey, unread, 0))
 	}
 	if len(roster) > 0 && !o.rosterMarked {
 		ops = append(ops, kv.Put(rosterKey, []byte(rosterInParts), 0))
@@ -142,11 +144,11 @@
 	return ops
 }
 
-// write makes one transaction, under the condition that this is still the owner, that no
+// write makes one transaction, under the conditions that this is still the owner and that no
 // other write of its own came between, and under those given.
-func (o *owner) write(ctx context.Context, ops []kv.Op, more ...kv.Compare) bool {
+func (o *owner) write(ctx context.Context, ops []kv.Op, conditions ...kv.Compare) bool {
 	txn := kv.Txn{
-		If:   append([]kv.Compare{{Key: leadKey, ModRevision: o.own.leadRev}, {Key: chainKey, ModRevision: o.own.chainRev}}, more...),
+		If:   append([]kv.Compare{{Key: leadKey, ModRevision: o.own.leadRev}, {Key: chainKey, ModRevision: o.own.chainRev}}, conditions...),
 		Then: append([]kv.Op{kv.Put(chainKey, []byte(o.own.lead.Session), 0)}, ops...),
 	}
 	wctx, cancel := context.WithTimeout(ctx, flushTimeout)
@@ -166,8 +168,8 @@
 	return o.writeRefused(res)
 }
 
-// writeRefused tells an earlier write of this owner, whose answer was lost,
-// from the end of the ownership.
+// writeRefused handles a refused write: either an earlier write of this owner, whose
+// answer was lost, was carried out, or the ownership has ended.
 func (o *owner) writeRefused(res kv.TxnResult) bool {
 	lead := false
 	for _, p := range res.Reads[0] {
--- a/node/removal.go
+++ b/node/removal.go
@@ -8,26 +8,26 @@
 	"leverstile.dev/kv"
 )
 
-// Figures of removals.
+// Limits of removals.
 const (
-	// removeJobs is the most finished jobs whose three records are removed in
+	// maxRemovedJobs is the most finished jobs whose three records are removed in
 	// one write.
 	removeJobs = 8
-	// removeAgainJobs is the same where each is removed under a condition of its own,
+	// maxRetriedRemovals is the same where each is removed under a condition of its own,
 	// of 32 entries that the store takes in all.
 	removeAgainJobs = 6
 )
 
-// unsureRemoval is a removal that may have been carried out: its answer was lost.
+// unansweredRemoval is a removal that may have been carried out: its answer was lost.
 type unsureRemoval struct {
-	// before is a revision of the store before it, left how many of the core's
-	// expired jobs it may have removed.
+	// before is a revision of the store before it, remaining the number of the core's
+	// expired jobs that it may have removed and that are still to be checked.
 	before int64
 	left   int
 }
 
 // removeBatch removes records of old jobs once there are as many as one write takes:
-// while jobs come, no flush is without news.
+// while jobs arrive, no flush is without updates.
 func (o *owner) removeBatch() {
 	o.mu.Lock()
 	full := len(o.core.Expired(removeJobs)) == removeJobs
@@ -40,7 +40,8 @@
 	o.removeExpired(o.ctx)
 }
 
-// removeExpired removes the records of jobs that ended long ago.
+// removeExpired removes the records of jobs that ended long ago. It reports false if a
+// write or read failed.
 func (o *owner) removeExpired(ctx context.Context) bool {
 	if o.removal.left > 0 {
 		return o.removeAgain(ctx)
@@ -64,8 +65,8 @@
 	return true
 }
 
-// removeAgain makes a removal again that may have been carried out. Jobs may have come
-// since under the same ids: their records are newer, and stay.
+// retryRemoval repeats a removal that may have been carried out. Jobs may have been
+// submitted since under the same ids: their records are newer, and stay.
 func (o *owner) removeAgain(ctx context.Context) bool {
 	ids := o.expired(min(o.removal.left, removeAgainJobs))
 	var ops []kv.Op
@@ -88,7 +89,8 @@
 	return true
 }
 
-// removeCancels removes cancellations of jobs that never came, if they still have not.
+// removeCancels removes cancellations of jobs that were never submitted, under the
+// condition that they still have not been.
 func (o *owner) removeCancels(ctx context.Context) bool {
 	o.mu.Lock()
 	ids := o.core.OldCancels(removeJobs, o.now())
@@ -113,15 +115,15 @@
 	return []kv.Op{kv.Delete(jobPrefix + id), kv.Delete(cancelPrefix + id), kv.Delete(progressPrefix + id)}
 }
 
-// expired returns the first jobs whose records can be removed.
+// expired returns up to limit jobs whose records can be removed.
 func (o *owner) expired(limit int) []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return slices.Clone(o.core.Expired(limit))
 }
 
-// removed tells the core that the records of the first n of these are gone, from a
-// revision of the store on.
+// removed reports to the core that the records of its first n expired jobs are gone, from
+// a revision of the store on.
 func (o *owner) removed(n int, revision int64) {
 	o.locked(func(c *dispatch.Core, _ dispatch.Instant) { c.RecordsRemoved(n, revision) })
 }
--- a/node/roster.go
+++ b/node/roster.go
@@ -11,13 +11,13 @@
 	"leverstile.dev/kv"
 )
 
-// mostRosterParts bounds the numbers of parts that are read, against keys of others.
+// maxRosterParts bounds the numbers of parts that are read, so that other keys are ignored.
 const mostRosterParts = 10_000
 
 func rosterPartKey(number int) string { return fmt.Sprintf("%s%05d", rosterPrefix, number) }
 
-// readRoster takes in the roster of the previous owner, and reports whether the store
-// tells that it is in parts. If anything of it can't be read, any worker may have orders.
+// readRoster recovers from the roster of the previous owner, and reports whether the store
+// records that it is in parts. If any of it can't be read, any worker may have orders.
 func (n *Node) readRoster(core *dispatch.Core, own []kv.Pair, now dispatch.Instant) (inParts bool) {
 	var list []dispatch.RosterEntry
 	sound := true
@@ -49,7 +49,7 @@
 	return inParts
 }
 
-// rosterPartOf returns the number of the part that a key holds.
+// rosterPartNumber returns the number of the part that a key holds.
 func rosterPartOf(key string) (number int, ok bool) {
 	name, ok := strings.CutPrefix(key, rosterPrefix)
 	if !ok {
