--- a/node/campaign_test.go
+++ b/node/campaign_test.go
@@ -17,8 +17,8 @@
 	"leverstile.dev/standin"
 )
 
-// countedStore is a store in memory that counts what is asked of it. Each call takes
-// countedLatency.
+// countedStore is a store in memory that counts writes and the bytes of reads. Each call
+// takes countedLatency.
 type countedStore struct {
 	*standin.KVStore
 	writes, bytes atomic.Int64
@@ -48,7 +48,7 @@
 func (s *countedStore) Do(ctx context.Context, txn kv.Txn) (kv.TxnResult, error) {
 	s.writes.Add(1)
 	time.Sleep(countedLatency)
-	for _, c := range txn.If { // a refused write tells the keys of its conditions
+	for _, c := range txn.If { // a refused write returns the keys of its conditions
 		txn.Else = append(txn.Else, kv.Get(c.Key))
 	}
 	res, err := s.KVStore.Do(ctx, txn)
@@ -74,7 +74,7 @@
 	return s.Watch(ctx, prefix, after, handle)
 }
 
-// lead returns the owner's key as it stands.
+// lead returns the current pair of the owner's key.
 func (s *countedStore) lead() (kv.Pair, bool) {
 	pairs, _, _ := s.KVStore.Range(context.Background(), leadKey)
 	if len(pairs) == 0 {
@@ -83,13 +83,13 @@
 	return pairs[0], true
 }
 
-// noCalls are Workers without calls.
+// noCalls are Workers that no call is made to.
 type noCalls struct{ Workers }
 
 func (noCalls) Abort() {}
 
-// startElection has an entry take part in the election until ctx ends. It owns the cell
-// without loading anything: it has no configuration.
+// startElection makes an entry take part in the election until ctx ends. It owns the cell
+// without loading anything, since it has no configuration.
 func startElection(ctx context.Context, running *sync.WaitGroup, store Store, name string) {
 	n := &Node{
 		opts: Options{Entry: name, PeerAddress: name, FreezeSlack: time.Hour}, steady: steadyClock(), workers: noCalls{},
@@ -99,21 +99,21 @@
 	running.Go(func() { _ = n.RunElection(ctx) })
 }
 
-// What a change of the owner may cost the store, however many entries there are.
+// Bounds of the load that a change of the owner puts on the store, for any number of entries.
 const (
-	// changeWrites is the most writes: of eight entries that stand for election, with a
-	// lease to be granted, a write of the key, and a lease to be given back each.
+	// changeWrites is the most writes: of eight entries that stand for election, each with a
+	// lease grant, a write of the key, and a lease revocation.
 	changeWrites = 8 * 3
 	// changeBytes is the most bytes that are read for each entry.
 	changeBytes = 1000
 )
 
-// TestAChangeOfTheOwnerCostsTheStoreTheSame: the next owner is found with as many writes
-// at 6 entries as at 6,000, and no entry but the next owner reads what grows with the
-// workers.
+// TestOwnerChangeCostDoesNotGrowWithEntries: the next owner is found with as many writes
+// at 6 entries as at 6,000, and no entry but the next owner reads records that grow with
+// the number of workers.
 //
-// Users would see a cell without an owner for as long as all entries stand for election
-// over and over: at 587 entries the answers filled the store's link, and no call for a
+// It guards against a cell without an owner for as long as all entries stand for election
+// repeatedly: at 587 entries the answers filled the store's link, and no call for a
 // lease was answered in time.
 func TestAChangeOfTheOwnerCostsTheStoreTheSame(t *testing.T) {
 	for _, entries := range []int{6, 60, 600, 6000} {
@@ -159,12 +159,12 @@
 	running.Wait()
 }
 
-// electionTakes is how long a won election takes until others hear of it: three calls to
+// electionTakes is how long a won election takes until others learn of it: three calls to
 // the store of 7 ms each.
 const electionTakes = 21 * time.Millisecond
 
-// TestCampaignDelays: somebody stands within all slots, and few stand within the time in
-// which the first one wins.
+// TestCampaignDelays: at least one entry stands within all slots, and few stand within the
+// time in which the first one wins.
 func TestCampaignDelays(t *testing.T) {
 	for _, entries := range []int{1, 6, 60, 600, 1200} {
 		early := 0
@@ -208,7 +208,7 @@
 }
 
 // TestWeakEntriesWatchTheOwnerPatiently: entries that rarely stand for election make fewer
-// calls, others hear of a silent watch soon.
+// calls; others detect a silent watch soon.
 func TestWeakEntriesWatchTheOwnerPatiently(t *testing.T) {
 	for share, patient := range map[float64]bool{0: false, 0.192: true, 0.8: false} {
 		synctest.Test(t, func(t *testing.T) {
--- a/node/end_test.go
+++ b/node/end_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// tenacious are Workers where a call that was broken off is under way again, until
-// it was broken off as often as it takes: it waited for a connection, or was tried
-// again on a new one.
+// retryingWorkers are Workers where an aborted call is in flight again until it was
+// aborted a number of times: it waited for a connection, or was retried
+// on a new one.
 type tenacious struct {
 	Workers
 	aborts chan struct{}
@@ -22,11 +22,11 @@
 	}
 }
 
-// TestEndBreaksOffAllCalls: a call that begins while others are broken off does not
-// hold up the handover.
+// TestEndAbortsAllCalls: a call that starts while others are aborted does not
+// delay the handover.
 //
-// Users would see up to 2 s without an owner at each restart of one that has a
-// worker whose connections are all in use: as long as a long poll takes.
+// It guards against up to 2 s without an owner, the time of a long poll, at each restart
+// of an owner that has a worker whose connections are all in use.
 func TestEndBreaksOffAllCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const longPoll = time.Hour
--- a/node/handover_test.go
+++ b/node/handover_test.go
@@ -11,12 +11,12 @@
 	"leverstile.dev/platform/wiretest"
 )
 
-// oneTask is a job whose task runs for as long as its worker lets it.
+// oneTask is a job with one task, which runs as long as its worker's settings say.
 const oneTask = `{"spec":"s","steps":[{"count":1,"cpu":500,"mem_mb":100}]}`
 
 // newSplitCell returns a cell of one node and two workers that the owners of
 // different terms reach: the first worker only that of term 1, the second only
-// later ones. No worker tells the first owner of the next one.
+// later ones. No worker reports the next owner to the first one.
 func newSplitCell(t *testing.T) *cell {
 	c := newCell(t, 0, 0)
 	for i := range 2 {
@@ -60,15 +60,14 @@
 	return starts
 }
 
-// An owner that hands over gives no orders once its lease may be over.
+// An owner that hands over gives no orders once its lease may have ended.
 //
-// Users would see one task run at two workers, ordered by two entries, after a
-// rolling restart on a day of cuts: the entry that is told to stop ends its lease
-// at the store; the store does so, and its answer does not come. Another entry
-// takes over at once and reads the jobs. A job that is handed in then is new to
-// both, and both start it. The first one counts its lease as sure until 2.4 s
-// after the last renewal, although it has given it up itself, and it hears of the
-// next owner only from a worker that it polls after that one.
+// The test guards against one task that two entries start on two workers after a rolling
+// restart: an entry that is stopped revokes its lease at the store, which does so, but the
+// answer is lost. Another entry takes over at once and reads the jobs. A job that is
+// submitted then is new to both, and both start it: the first one counts its lease as held
+// until 2.4 s after the last renewal, although it has revoked it itself, and it learns of
+// the next owner only from a worker that it polls after that one.
 func TestHandoverEndsAllOrdersFirst(t *testing.T) {
 	c := newSplitCell(t)
 	c.store.SetFault(func(_, path string) wiretest.Fault {
@@ -81,7 +80,7 @@
 	c.awaitOwner(1)
 	c.submit(1, id(2), oneTask)
 	c.await("a start by the next owner", func() bool { return startsAt(c.workers[1:]) == 1 })
-	c.await("the first owner's end", func() bool { return c.store.Held() == 0 })
+	c.await("the end of the first owner", func() bool { return c.store.Held() == 0 })
 	if n := c.startsOf(id(2)); n != 1 {
 		t.Errorf("%d starts of one task", n)
 	}
--- a/node/handoverwrite_test.go
+++ b/node/handoverwrite_test.go
@@ -16,8 +16,8 @@
 	"leverstile.dev/platform/wiretest"
 )
 
-// slowWrites is a store that carries the first write of a job's progress out, and
-// whose answer to it takes a while.
+// slowWrites is a store that carries out the first write of a job's progress, and
+// delays the answer to it.
 type slowWrites struct {
 	node.Store
 	job    string
@@ -42,12 +42,12 @@
 	return res, err
 }
 
-// TestHandoverWritesAfterAWriteThatWasBrokenOff: an owner that hands over writes what
-// waits also if a write was under way as it was told to stop.
+// TestHandoverWritesAfterAnAbortedWrite: an owner that hands over writes its unwritten
+// changes also if a write was in flight when it was stopped.
 //
-// The write that the end of the ownership breaks off is carried out all the same, so
-// that the next one is refused once and must be made again. A busy owner of a slow
-// store, which takes 0.36 s, nearly always has a write under way.
+// The write that the end of the ownership aborts is carried out nevertheless, so that the
+// next one is refused once and must be repeated. A busy owner of a slow store, which
+// takes 0.36 s, nearly always has a write in flight.
 func TestHandoverWritesAfterAWriteThatWasBrokenOff(t *testing.T) {
 	for name, answer := range map[string]time.Duration{"slow": 360 * time.Millisecond, "lost": time.Hour} {
 		t.Run(name, func(t *testing.T) { handOverWhileWriting(t, &slowWrites{job: id(1), answer: answer}) })
@@ -70,9 +70,9 @@
 	c.submit(0, id(0), oneTask) // while something runs, the worker is polled all the time
 	c.awaitState(0, id(0), "running")
 	c.await("a start", func() bool { return c.startsOf(id(0)) == 1 })
-	time.Sleep(time.Second) // an idle worker is looked at every half second
+	time.Sleep(time.Second) // an idle worker is polled every half second
 	c.submit(0, id(1), twoSteps)
-	c.await("the second step", func() bool { return c.startsOf(id(1)) == 6 }) // the owner knows that the first is done
+	c.await("the second step", func() bool { return c.startsOf(id(1)) == 6 }) // the owner has processed the end of the first
 	if n := store.begun.Load(); n != 1 {
 		t.Fatalf("%d writes of progress, want one that waits", n)
 	}
--- a/node/load_test.go
+++ b/node/load_test.go
@@ -11,8 +11,8 @@
 	"leverstile.dev/kv"
 )
 
-// cutStore refuses the first reads of each range, one less with each range that was asked
-// for before, and counts those that it answers.
+// failingStore refuses the first reads of each range, as many as refusals says, and counts
+// those that it answers.
 type cutStore struct {
 	Store
 	mu       sync.Mutex
@@ -35,7 +35,7 @@
 	return dispatch.WorkerList{}, nil
 }
 
-// TestALoadKeepsWhatWasRead: parts of the state that a next owner has read are not read
+// TestLoadKeepsPartsAlreadyRead: parts of the state that a next owner has read are not read
 // again when another part fails.
 func TestALoadKeepsWhatWasRead(t *testing.T) {
 	store := &cutStore{refusals: map[string]int{ownPrefix: 0, progressPrefix: 1, intakePrefix: 3}, answered: map[string]int{}}
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -30,7 +30,7 @@
 const configText = `{"version":%d,"routes":[{"name":"q","host":"h.example","path_prefix":"/a/","timeout_ms":3000,"target_latency_ms":250,
 "priority":0,"service":"svc","max_attempts":3,"stretch":2}],"services":[{"name":"svc","admission_check":true}],"limits":{"max_body_bytes":100000}}`
 
-// cell is a platform of stand-ins with nodes on loopback ports.
+// cell is a simulated platform with nodes on loopback ports.
 type cell struct {
 	t       *testing.T
 	store   *wiretest.Store
@@ -41,8 +41,8 @@
 	doubled []string
 	jobKept time.Duration
 	advisor string // address of the placement policy
-	cloud   string // address that takes orders for VMs
-	// wrap, if set, stands between a node and the store.
+	cloud   string // address of the interface that takes orders for VMs
+	// wrap, if set, wraps the store that a node uses.
 	wrap func(node string, s node.Store) node.Store
 }
 
@@ -50,7 +50,7 @@
 	node  *node.Node
 	front *httptest.Server
 	peers *http.Server
-	// address serves other entries and the product's own interface.
+	// address serves other entries and the jobs service.
 	address string
 	stop    context.CancelFunc
 	done    sync.WaitGroup
@@ -71,7 +71,7 @@
 	return c
 }
 
-// note checks that no task runs twice at a time.
+// recordRun records starts and ends of runs; a task that runs twice at a time is a failure.
 func (c *cell) note(task string, delta int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -93,7 +93,7 @@
 	return startNodeWith(name, params, ports, set)
 }
 
-// startNodeAt starts a node on a store, with nothing in between.
+// startNodeAt starts a node that uses a store directly.
 func startNodeAt(address, name string, set *metrics.Set) *testNode {
 	store := platform.NewStore(address, set)
 	params := dispatch.Params{MaxTaskLease: 6 * time.Second, OverTarget: 4 * time.Second, JobKept: time.Minute, RemoteFactor: 1}
@@ -104,7 +104,7 @@
 	return startNodeBehind(name, params, ports, set, func(address string) string { return address })
 }
 
-// startNodeBehind starts a node that others call at what wrap returns for its address.
+// startNodeBehind starts a node that others call at the address that wrap returns for its own.
 func startNodeBehind(name string, params dispatch.Params, ports node.Ports, set *metrics.Set, wrap func(string) string) *testNode {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -167,7 +167,7 @@
 	return resp.StatusCode, string(text), resp.Header
 }
 
-// await retries until ok, and fails the test if that never comes.
+// await retries until ok returns true, and fails the test if it does not.
 func (c *cell) await(what string, ok func() bool) {
 	c.t.Helper()
 	for end := time.Now().Add(eventually); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
@@ -178,7 +178,7 @@
 	c.t.Fatal("never came: " + what)
 }
 
-// submit hands a job in until it is accepted.
+// submit submits a job until it is accepted.
 func (c *cell) submit(n int, id, body string) {
 	c.t.Helper()
 	c.await("acceptance of "+id, func() bool {
@@ -296,7 +296,7 @@
 }
 
 // An answer of the store that is lost leaves the outcome open: the customer
-// hears 504, never that the job was not taken.
+// gets 504, never an answer that the job was not accepted.
 func TestAnswersOfTheStoreDecideWhatCustomersHear(t *testing.T) {
 	c := newCell(t, 1, 1)
 	c.submit(0, id(1), twoSteps)
@@ -329,7 +329,7 @@
 	c.awaitState(0, id(3), "succeeded")
 }
 
-// An owner that stops hands over; what runs is not started again.
+// An owner that stops hands over; running tasks are not started again.
 func TestOwnersAreReplaced(t *testing.T) {
 	c := newCell(t, 3, 2)
 	next := 0
@@ -401,30 +401,30 @@
 	})
 }
 
-// Records of old jobs are removed also while jobs come without a pause. Else the
+// Records of old jobs are removed also while jobs arrive without a pause. Otherwise the
 // store grows all day, and so does what the next owner reads before its first order.
 func TestRecordsOfOldJobsAreRemovedUnderLoad(t *testing.T) {
-	const jobs, mostKept = 60, 30
+	const jobs, maxKept = 60, 30
 	c := newCell(t, 0, 2)
 	c.jobKept = 10 * time.Millisecond
 	c.nodes = append(c.nodes, c.startNode("entry-0"))
 	next := 1
-	play := func() {
+	submitNext := func() {
 		c.submit(0, id(next), twoSteps)
 		c.await(id(next), func() bool { return c.startsOf(id(next)) == 6 })
 		next++
 	}
 	for next <= jobs {
-		play()
+		submitNext()
 	}
-	c.await("the removal of old jobs while others come", func() bool {
-		play()
-		return len(c.store.Keys("ls/in/job/")) <= mostKept
+	c.await("the removal of old jobs while others arrive", func() bool {
+		submitNext()
+		return len(c.store.Keys("ls/in/job/")) <= maxKept
 	})
 }
 
-// A queue with a placement policy starts its tasks only at workers that the
-// policy allows, with their tickets; a call that fails is made again.
+// A queue with a placement policy starts its tasks only on workers that the
+// policy allows, with their tickets; a call that fails is retried.
 func TestQueueWithPlacementPolicy(t *testing.T) {
 	c := newCell(t, 0, 3)
 	calls := 0
@@ -456,7 +456,7 @@
 	}
 }
 
-// The product's own interface serves the same jobs at every entry.
+// The jobs service serves the same jobs at every entry.
 func TestOwnInterfaceToJobs(t *testing.T) {
 	c := newCell(t, 2, 1)
 	c.submit(0, id(1), `{"spec":"s","steps":[{"count":1,"cpu":500,"long_running":true}]}`)
@@ -479,7 +479,7 @@
 		})
 		for _, bad := range []string{"{", `{"id":"x","queue":"q","steps":[{"count":1}]}`, strings.Replace(spec, `"q"`, `"nowhere"`, 1)} {
 			if _, err := jobs.Submit(ctx, connect.NewRequest(&jobsv1.SubmitRequest{Spec: []byte(bad)})); err == nil {
-				t.Errorf("%s passes", bad)
+				t.Errorf("%s is accepted", bad)
 			}
 		}
 	}
--- a/node/pacer_test.go
+++ b/node/pacer_test.go
@@ -11,14 +11,14 @@
 	"leverstile.dev/dispatch"
 )
 
-// sharedProcessor is a stand-in for the processor of a process: what is begun is worked on
-// in its order.
+// sharedProcessor simulates the processor of a process: work is done in the order in
+// which it was started.
 type sharedProcessor struct {
 	mu   sync.Mutex
-	free time.Time // when all that was begun is done
+	free time.Time // when all work that was started is done
 }
 
-// work does work that takes d of the processor, and returns how long it took in all.
+// work takes d of the processor, and returns how long it took including the wait.
 func (p *sharedProcessor) work(d time.Duration) time.Duration {
 	now := time.Now()
 	p.mu.Lock()
@@ -36,8 +36,8 @@
 // poll takes less than the 300 ms in which a connection must be opened; and the processor is
 // idle for less than a third of the time.
 //
-// Users would see workers that are well taken for silent, at each takeover of a
-// large cell: starts wait for them, and leases lapse.
+// It guards against working workers that count as silent at each takeover of a
+// large cell: starts wait for them, and leases expire.
 func TestFirstPollsDoNotWaitForEachOther(t *testing.T) {
 	const dialTimeout = 300 * time.Millisecond
 	for _, cost := range []time.Duration{50 * time.Microsecond, 250 * time.Microsecond, 2 * time.Millisecond} {
@@ -48,8 +48,8 @@
 					if longest >= dialTimeout {
 						t.Errorf("a poll took %s", longest)
 					}
-					if most := time.Duration(workers) * cost * 3 / 2; all > most+dialTimeout {
-						t.Errorf("all polls took %s, more than %s", all, most)
+					if limit := time.Duration(workers) * cost * 3 / 2; all > limit+dialTimeout {
+						t.Errorf("all polls took %s, more than %s", all, limit)
 					}
 				})
 			})
@@ -57,10 +57,10 @@
 	}
 }
 
-// pacerEnds is a time after which the goroutine of a pacer for which nobody waits has ended.
+// pacerEnds is a time after which the goroutine of a pacer without waiting callers has ended.
 const pacerEnds = time.Second
 
-// pacedPolls returns the longest time that a poll took, and the time that all did.
+// pacedPolls returns the longest time that a poll took, and the time of all polls together.
 func pacedPolls(workers int, cost time.Duration) (longest, all time.Duration) {
 	began := time.Now()
 	p := &sharedProcessor{}
@@ -83,7 +83,7 @@
 	return longest, all
 }
 
-// TestPacerServesSingleCallersAtOnce: a caller that comes alone does not wait.
+// TestPacerServesSingleCallersAtOnce: a single caller does not wait.
 func TestPacerServesSingleCallersAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
@@ -97,7 +97,7 @@
 	})
 }
 
-// TestTurnsEndWithTheirContext: who gives up waits no longer, and holds up no others.
+// TestTurnsEndWithTheirContext: a caller whose context ends stops waiting, and delays no others.
 func TestTurnsEndWithTheirContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -112,13 +112,13 @@
 			t.Error("a caller went on after its context had ended")
 		}
 		if !awaitTurn(context.Background(), waits) {
-			t.Error("no turn for one that waits behind callers that are gone")
+			t.Error("no turn for a caller behind others that have given up")
 		}
 		time.Sleep(pacerEnds)
 	})
 }
 
-// TestAwaitedWorkersAreReadFirst: what may have been ordered waits for these.
+// TestAwaitedWorkersAreReadFirst: tasks that may have been ordered wait for these workers.
 func TestAwaitedWorkersAreReadFirst(t *testing.T) {
 	core := dispatch.New(dispatch.Params{MaxTaskLease: time.Second, OwnerTTL: time.Hour, OwnerHorizon: time.Hour}, 2, nil)
 	now := dispatch.Instant{}
--- a/node/pollers_test.go
+++ b/node/pollers_test.go
@@ -14,7 +14,7 @@
 	"leverstile.dev/job"
 )
 
-// countedPolls is Workers that answer no poll and count them.
+// countedPolls is Workers that count polls and answer none.
 type countedPolls struct {
 	Workers
 	polls atomic.Int32
@@ -25,11 +25,11 @@
 	return dispatch.PollReply{}, dispatch.OutcomeUnknown
 }
 
-// TestWorkerThatComesBackIsPolled: a worker that the core forgets between two reads
+// TestWorkerThatComesBackIsPolled: a worker that the core removes between two reads
 // of the list, and that the next one names again, is polled again.
 //
-// Users would see a worker that gets no tasks for as long as the owner lives: its
-// poller had ended, and still stood in the list of pollers.
+// It guards against a worker that gets no tasks until the next takeover: its
+// poller had ended, but was still in the list of pollers.
 func TestWorkerThatComesBackIsPolled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
@@ -53,9 +53,9 @@
 			t.Fatal("the worker is not polled")
 		}
 		list()
-		o.locked(func(c *dispatch.Core, now dispatch.Instant) { c.Tick(now) }) // the core forgets it
+		o.locked(func(c *dispatch.Core, now dispatch.Instant) { c.Tick(now) }) // the core removes it
 		if len(core.Workers()) != 0 {
-			t.Fatal("the worker is known")
+			t.Fatal("the core still has the worker")
 		}
 		time.Sleep(time.Second) // its poller ends
 		workers.polls.Store(0)
