--- a/node/crasher_test.go
+++ b/node/crasher_test.go
@@ -10,9 +10,9 @@
 	"leverstile.dev/platform/wiretest"
 )
 
-// TestCustomerHearsWhyAJobFailed: each entry tells that the job's task crashes its workers,
-// also those that do not own the cell and, after the owner is gone, from the store. A job
-// beside it is done.
+// TestEntriesReportWhyAJobFailed: each entry reports that the job's task crashes its workers,
+// also those that do not own the cell and, after the owner has ended, from the store. Another
+// job succeeds meanwhile.
 func TestCustomerHearsWhyAJobFailed(t *testing.T) {
 	c := newCell(t, 2, 0)
 	bad, good := id(1), id(2)
@@ -32,10 +32,10 @@
 		c.awaitState(n, good, "succeeded")
 		_, _, header := c.call(n, "GET", bad, "")
 		if reason := header.Get(platform.HeaderReason); !strings.Contains(reason, bad+".0.0.2") || !strings.Contains(reason, "crashed") {
-			t.Errorf("entry %d tells %q", n, reason)
+			t.Errorf("entry %d reports %q", n, reason)
 		}
 		if _, _, header := c.call(n, "GET", good, ""); header.Get(platform.HeaderReason) != "" {
-			t.Errorf("entry %d tells a reason of a job that is done", n)
+			t.Errorf("entry %d reports a reason for a job that succeeded", n)
 		}
 	}
 	starts := 0
@@ -52,6 +52,6 @@
 	c.nodes = append(c.nodes[:0], c.startNode("entry-9"))
 	c.awaitState(0, bad, "failed")
 	if _, _, header := c.call(0, "GET", bad, ""); header.Get(platform.HeaderReason) == "" {
-		t.Error("the next owner tells no reason")
+		t.Error("the next owner reports no reason")
 	}
 }
--- a/node/mute_test.go
+++ b/node/mute_test.go
@@ -14,12 +14,12 @@
 	"leverstile.dev/platform/wiretest"
 )
 
-// leaseRead is longer than it takes until a worker was polled after a start.
+// polledAfterStart is longer than it takes until a worker was polled after a start.
 const leaseRead = 2500 * time.Millisecond
 
 // TestConnectionsThatFallSilentForGood: all connections between entries, to the store and to
-// workers fall silent without a reset, several times, and new ones work. Jobs that are handed
-// in afterwards run, a cancelled one is stopped, and what ran before runs on, under one start.
+// workers fall silent without a reset, several times, and new ones work. Jobs that are submitted
+// afterwards run, a cancelled one is stopped, and earlier tasks keep running, under one start.
 func TestConnectionsThatFallSilentForGood(t *testing.T) {
 	c := newCell(t, 0, 0)
 	var muters []*wiretest.Muter
@@ -46,19 +46,19 @@
 	const perJob = 6
 	body := fmt.Sprintf(`{"spec":"s","steps":[{"count":%d,"cpu":500}]}`, perJob)
 	last := 0
-	handIn := func(at int) {
+	submit := func(at int) {
 		last++
 		c.submit(at, id(last), body)
 		c.await("the starts of "+id(last), func() bool { return startsAt(c.workers) == last*perJob })
 	}
-	handIn(0)
+	submit(0)
 	for round := range 3 {
 		time.Sleep(leaseRead) // a run's lease is short until the worker was polled after its start
 		for _, m := range muters {
 			m.Mute()
 		}
-		handIn(round % 2)
-		handIn((round + 1) % 2)
+		submit(round % 2)
+		submit((round + 1) % 2)
 	}
 	time.Sleep(leaseRead)
 	for _, m := range muters {
--- a/node/owner_bench_test.go
+++ b/node/owner_bench_test.go
@@ -17,7 +17,7 @@
 	"leverstile.dev/platform/wiretest"
 )
 
-// Figures of the load on an owner.
+// Sizes and intervals of the load on an owner.
 const (
 	benchWorkers = 490
 	// benchJobPause is the pause between jobs of benchTasks tasks, which work for benchWork.
@@ -26,16 +26,17 @@
 	benchWork     = 200 * time.Millisecond
 	// benchPayload is the size of a job's payload in bytes.
 	benchPayload = 2500
-	// benchLasting jobs run all the while, with benchLastingTasks tasks each.
+	// benchLongRunning jobs run all the time, with benchLongRunningTasks tasks each.
 	benchLasting      = 49
 	benchLastingTasks = 20
 	// benchTick is the time that one iteration of the benchmark covers.
 	benchTick = 100 * time.Millisecond
-	// benchSettle is for connections to be opened and for first polls.
+	// benchSettle is the time for connections to be opened and for first polls.
 	benchSettle = 4 * time.Second
 )
 
-// standInsVariable makes the test binary a process of stand-ins instead.
+// standInsVariable is the environment variable that makes the test binary run the simulated
+// platform instead.
 const standInsVariable = "LEVERSTILE_TEST_STANDINS"
 
 func TestMain(m *testing.M) {
@@ -46,8 +47,8 @@
 	os.Exit(m.Run())
 }
 
-// runStandIns is a store, workers and customers: it prints the store's address, reads
-// that of the node's front door, and hands in jobs until its input ends.
+// runStandIns simulates a store, workers and customers: it prints the store's address, reads
+// that of the node's front end, and submits jobs until its input ends.
 func runStandIns() {
 	store := wiretest.NewStore()
 	store.Put("op/config", fmt.Appendf(nil, configText, 1))
@@ -69,13 +70,13 @@
 	in.Scan()
 }
 
-// handIn makes the calls of customers.
+// submitJobs makes the calls of customers.
 func handIn(front string) {
 	payload := strings.Repeat("x", benchPayload)
-	lasting := fmt.Sprintf(`{"spec":%q,"steps":[{"count":%d,"cpu":2000,"mem_mb":100,"long_running":true,"image":"a","target_ms":50}]}`, payload, benchLastingTasks)
+	longRunning := fmt.Sprintf(`{"spec":%q,"steps":[{"count":%d,"cpu":2000,"mem_mb":100,"long_running":true,"image":"a","target_ms":50}]}`, payload, benchLastingTasks)
 	short := fmt.Sprintf(`{"spec":%q,"steps":[{"count":%d,"cpu":500,"mem_mb":100,"estimated_ms":200}]}`, payload, benchTasks)
 	for i := range benchLasting {
-		post(front, fmt.Sprintf("f%015x", i), lasting)
+		post(front, fmt.Sprintf("f%015x", i), longRunning)
 	}
 	for i := 0; ; i++ {
 		go post(front, id(i), short)
@@ -83,7 +84,7 @@
 	}
 }
 
-// post hands in a job until it is taken.
+// post submits a job until it is accepted.
 func post(front, id, body string) {
 	for ; ; time.Sleep(benchTick) {
 		req, err := http.NewRequest(http.MethodPost, front+"/a/"+id, strings.NewReader(body))
@@ -102,8 +103,8 @@
 	}
 }
 
-// startStandIns starts the process of stand-ins. It returns the address of the store
-// and where to write that of the front door.
+// startStandIns starts the process of the simulated platform. It returns the address of the
+// store and where to write that of the front end.
 func startStandIns(b *testing.B) (store string, front io.Writer) {
 	b.Helper()
 	cmd := exec.Command(os.Args[0])
@@ -126,14 +127,14 @@
 	})
 	lines := bufio.NewScanner(out)
 	if !lines.Scan() {
-		b.Fatal("no stand-ins")
+		b.Fatal("the simulated platform did not start")
 	}
 	return lines.Text(), in
 }
 
-// BenchmarkOwner is the processor time of a node that owns 490 workers at 400 starts a
-// second, without that of the stand-ins, which are a process of their own. Run it with
-// -cpu 1 -benchtime 10s; a CPU profile holds the node alone.
+// BenchmarkOwner reports the processor time of a node that owns 490 workers at 400 starts a
+// second, without that of the simulated platform, which is a process of its own. Run it with
+// -cpu 1 -benchtime 10s; a CPU profile then covers the node alone.
 func BenchmarkOwner(b *testing.B) {
 	address, front := startStandIns(b)
 	set := metrics.NewSet()
@@ -158,7 +159,7 @@
 	b.ReportMetric(float64(made)/took.Seconds(), "calls/s")
 }
 
-// processorTime is what the process has spent so far, in user and kernel mode.
+// processorTime is the processor time that the process has used so far, in user and kernel mode.
 func processorTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
--- a/node/removal_test.go
+++ b/node/removal_test.go
@@ -14,7 +14,7 @@
 )
 
 // lostRemoval is a store that carries out the first removal of jobs' records and loses the
-// answer; then runs before the caller hears of that.
+// answer; it calls then before the caller learns of the loss.
 type lostRemoval struct {
 	node.Store
 	lost bool
@@ -36,11 +36,11 @@
 	return kv.TxnResult{}, errors.Trace(kv.ErrUnavailable)
 }
 
-// TestRemovalThatIsMadeAgainKeepsNewJobs: the records of an old job are removed, the answer
-// is lost, and a new job comes under the same id before the removal is made again.
+// TestRetriedRemovalKeepsNewJobs: the records of an old job are removed, the answer
+// is lost, and a new job is submitted under the same id before the removal is retried.
 //
-// Its customer was told that it is accepted; the second removal took its record away, and the
-// job was never shown as done.
+// The test guards against a retry that removes the new job's record: its customer was told
+// that it is accepted, and it would never be shown as done.
 func TestRemovalThatIsMadeAgainKeepsNewJobs(t *testing.T) {
 	c := newCell(t, 0, 1)
 	c.jobKept = 0
@@ -62,8 +62,8 @@
 	c.checkRuns()
 }
 
-// lateHandIns is a store that carries the writes of one job's record out only when it is told
-// to, without an answer.
+// lateSubmissions is a store that does not answer writes of one job's record; the first of
+// them is carried out when the test does so.
 type lateHandIns struct {
 	node.Store
 	key  string
@@ -84,8 +84,8 @@
 	return s.Store.Do(ctx, txn)
 }
 
-// TestCancelledBeforeItWasRecorded: a hand-in is under way at the store as its customer
-// cancels the job and hears that there is none. The job comes to light later, and does not
+// TestCancelledBeforeItWasRecorded: a submission is in flight at the store while its customer
+// cancels the job and is told that there is none. The job is recorded later, and must not
 // run, under this owner and the next one.
 func TestCancelledBeforeItWasRecorded(t *testing.T) {
 	for _, takeover := range []bool{false, true} {
@@ -101,7 +101,7 @@
 			c.submit(0, id(9), twoSteps)
 			c.awaitState(1, id(9), "succeeded")
 			if status, _, _ := c.call(0, "POST", id(1), twoSteps); status != http.StatusGatewayTimeout {
-				t.Fatalf("handing in without an answer of the store: %d", status)
+				t.Fatalf("submission without an answer of the store: %d", status)
 			}
 			if status, _, _ := c.call(1, "DELETE", id(1), ""); status != http.StatusGone {
 				t.Fatalf("cancelling a job that is not there: %d", status)
--- a/node/repeated_start_test.go
+++ b/node/repeated_start_test.go
@@ -8,21 +8,15 @@
 	"leverstile.dev/platform/wiretest"
 )
 
-// TestRefusedCopyOfAStartProvesNothing.
+// TestRefusedRetryOfAStartProvesNothing guards against one task that runs on two workers at
+// once, with both runs ordered by the same owner within its term.
 //
-// What users saw: one task ran on two workers at once. Both runs had been ordered
-// by the same owner, within its term; the first was never told to stop, ended done,
-// and its end was acknowledged.
-//
-// What happened: the first start was carried out, but its connection broke before
-// the answer. The client of workers sent the call once more by itself, and the
-// worker, unwell for a moment, refused this copy. The owner heard of one try that was
-// refused, took the task for not running, and started it at another worker. With
-// nothing else of its own at the first worker it did not ask there again.
-//
-// The evidence is this order of events with real connections: the task is doubled
-// each time. A refusal proves that the copy it answers did nothing, and nothing of an
-// earlier one.
+// The first start is carried out, but its connection breaks before the answer. The client of
+// workers sends the call again by itself, and the worker, which refuses work for a short time,
+// refuses this copy. An owner that sees only the refusal takes the task for not running and
+// starts it on another worker; with nothing else of its own on the first worker, it does not
+// poll that one again, never stops the first run, and acknowledges its end. A refusal proves
+// that the copy that it answers did nothing, but nothing about an earlier copy.
 func TestRefusedCopyOfAStartProvesNothing(t *testing.T) {
 	c := newCell(t, 0, 0)
 	var starts atomic.Int32
--- a/node/restart_test.go
+++ b/node/restart_test.go
@@ -8,7 +8,7 @@
 	"leverstile.dev/platform/wiretest"
 )
 
-// startSameID starts a worker whose lives all have its id.
+// startSameID starts a worker whose incarnations all have the same id.
 func (c *cell) startSameID(name string, o wiretest.WorkerOptions) *wiretest.Worker {
 	o.ID, o.Service, o.SameID, o.Progress = name, "svc", true, true
 	w := wiretest.StartWorker(c.store, o)
@@ -17,19 +17,15 @@
 	return w
 }
 
-// TestEndsAfterARestartUnderTheSameID.
+// TestEndsAfterARestartUnderTheSameID guards against tasks that run twice, one run after the
+// other, although the first run ended done and its end was acknowledged.
 //
-// What users saw: tasks ran twice, one after the other. The first run had ended done, and
-// that end had been acknowledged.
-//
-// What happened: a worker crashed, started again under its id, and got tasks at once: to its
-// owner it was the life that had answered before. The next life counts its ends from 1, so the
-// owner took them for ends that it knew, and its next poll, which acknowledged the ends of the
-// life before, let the worker forget them. The runs were then no longer listed, nor their ends,
-// and the tasks were started again.
-//
-// The evidence: each task is started anew until the next life has told more ends than the one
-// before, here four times; every run has ended done and is noted as acknowledged.
+// A worker crashes and starts again under its id, and gets tasks at once. Its new incarnation
+// counts its ends from 1. An owner that takes it for the old incarnation takes these ends for
+// ones that it has recorded, and its next poll, which acknowledges the ends of the old
+// incarnation, lets the worker delete them. Neither the runs nor their ends are listed then,
+// and each task is started anew until the new incarnation has reported more ends than the old
+// one, here four times.
 func TestEndsAfterARestartUnderTheSameID(t *testing.T) {
 	const before, after = 12, 4
 	c := newCell(t, 1, 0)
@@ -47,25 +43,21 @@
 	}
 }
 
-// TestLastingTaskAfterARestartUnderTheSameID.
-//
-// What users saw: tasks that are to run until they are cancelled did not run any more, with
-// room for them.
-//
-// What happened: their worker crashed and started again under its id. An id named one life,
-// so the owner took the answers of the next life for those of the one before. Its clock was
-// behind, so its lists counted as overtaken by newer answers and were not read: the tasks
-// counted as running for good.
+// TestLongRunningTaskAfterARestartUnderTheSameID guards against tasks that are to run until
+// they are cancelled but no longer run, although there is capacity for them.
 //
-// The evidence: with a clock that starts ahead of the one before, the tasks start again at
-// once; with one that starts behind, never. No log line told that a life had ended.
+// Their worker crashes and starts again under its id. An owner that takes the answers of the
+// new incarnation for those of the old one does not read its lists if its clock is behind the
+// old one: they count as overtaken by newer answers, and the tasks count as running for good.
+// With a clock that starts ahead of the old one, the tasks start again at once. No log line
+// reports the end of the old incarnation.
 func TestLastingTaskAfterARestartUnderTheSameID(t *testing.T) {
 	clocks := []int64{400_000, 3}
 	c := newCell(t, 1, 0)
 	w := c.startSameID("i-a", wiretest.WorkerOptions{
 		Work:       func(string) time.Duration { return time.Hour },
 		Lasting:    func(string) bool { return true },
-		ClockStart: func(life int) int64 { return clocks[min(life, len(clocks))-1] },
+		ClockStart: func(incarnation int) int64 { return clocks[min(incarnation, len(clocks))-1] },
 	})
 	c.submit(0, id(1), `{"spec":"s","steps":[{"count":3,"cpu":500,"mem_mb":100,"long_running":true}]}`)
 	c.await("tasks that run", func() bool { return w.Running() == 3 })
--- a/node/rosterread_test.go
+++ b/node/rosterread_test.go
@@ -12,9 +12,9 @@
 	"leverstile.dev/kv"
 )
 
-// TestRostersThatAreRead: a roster in parts names the workers to wait for; one in a single
-// value, or with a part that can't be read, lets any worker be waited for, beside those that can
-// be read. Keys of others count for nothing.
+// TestReadRoster: a roster in parts names the workers to wait for. One in a single value, or
+// with a part that can't be read, means that any worker may have to be waited for, beside
+// those that can be read. Other keys are ignored.
 func TestRostersThatAreRead(t *testing.T) {
 	part := func(key, ids string) kv.Pair { return kv.Pair{Key: key, Value: []byte(ids)} }
 	first, second := part("ls/own/roster/00000", `[{"id":"w1"},{"id":"w2"}]`), part("ls/own/roster/00007", `[{"id":"w3"}]`)
@@ -22,7 +22,7 @@
 	for name, x := range map[string]struct {
 		own     []kv.Pair
 		inParts bool
-		waits   int // for how many workers; one more stands for those that no roster names
+		waits   int // for how many workers; one more represents those that no roster names
 	}{
 		"nothing":             {nil, false, 0},
 		"parts":               {[]kv.Pair{marker, first, second}, true, 3},
--- a/node/suspended_test.go
+++ b/node/suspended_test.go
@@ -10,7 +10,7 @@
 	"leverstile.dev/dispatch"
 )
 
-// steadyClock is a clock without a look at suspensions, for tests on simulated time.
+// steadyClock is a clock that does not detect suspensions, for tests on simulated time.
 func steadyClock() *clock.Clock {
 	start := time.Now()
 	return clock.NewOf(clock.Sources{
@@ -20,8 +20,8 @@
 	})
 }
 
-// suspendedVM is a VM whose clocks a test moves: the monotonic one stands still while it is
-// suspended.
+// suspendedVM is a VM whose clocks a test advances: the monotonic one stands still while the
+// VM is suspended.
 type suspendedVM struct{ mono, asleep time.Duration }
 
 func (v *suspendedVM) clock() *clock.Clock {
@@ -34,8 +34,8 @@
 }
 
 // TestSuspendedOwnerSendsNothing: a VM that is suspended for longer than the owner's lease
-// wakes up beside the next owner. By the monotonic clock no time has passed; with it the
-// owner went on giving orders, and two owners started the same job.
+// resumes while the next owner is active. By the monotonic clock no time has passed: an owner
+// that uses it continues to give orders, and two owners start the same job.
 func TestSuspendedOwnerSendsNothing(t *testing.T) {
 	vm := &suspendedVM{mono: time.Minute}
 	n := &Node{steady: vm.clock(), log: &log.Logger{Writer: log.IOWriter{Writer: t.Output()}}}
@@ -50,7 +50,7 @@
 	vm.asleep = ownerTTL + time.Second
 	o.noticeFreeze()
 	if !o.suspended {
-		t.Error("the owner goes on as if no time had passed")
+		t.Error("the owner continues as if no time had passed")
 	}
 	if now := o.now().Steady; now-o.own.renewed < ownerTTL {
 		t.Errorf("its lease counts as %v old, want %v or more", now-o.own.renewed, ownerTTL)
@@ -61,8 +61,9 @@
 	}
 }
 
-// TestTimeOfDayAfterASuspension: timed jobs are due by the time of day, of which a suspension
-// is no jump; held off as one, they began late by as much for half a minute.
+// TestTimeOfDayAfterASuspension: timed jobs are due by the time of day, and a suspension is no
+// jump of it. If its adoption were delayed as for a jump, they would start late by the length
+// of the suspension for half a minute.
 func TestTimeOfDayAfterASuspension(t *testing.T) {
 	const began = 1_700_000_000_000
 	vm := &suspendedVM{mono: time.Minute}
--- a/node/wallclock_test.go
+++ b/node/wallclock_test.go
@@ -7,14 +7,14 @@
 	"github.com/phuslu/log"
 )
 
-// A clock that jumps and comes back is not followed, one that drifts or was set for good is.
+// A clock that jumps and comes back is not followed; one that drifts or was set for good is.
 func TestWallClockHoldsOffJumps(t *testing.T) {
 	const start = 1_700_000_000_000
 	for _, x := range []struct {
 		name string
-		// offset is how far the reading is off, milliseconds, by second.
+		// offset is the error of the reading in milliseconds, by second.
 		offset func(second int64) int64
-		// most is how far the clock may be off at the most, last how far at the end.
+		// most is the largest permitted error of the clock, last its error at the end.
 		most, last int64
 	}{
 		{"ahead and back", func(s int64) int64 { return jumpFor(s, 3, 9, 2400) }, 0, 0},
@@ -48,13 +48,13 @@
 	return 0
 }
 
-// TestDecisionsHoldOffJumps: what the core is told of the time of day is what the wall clock
-// believes, not what the operating system says at that moment.
+// TestDecisionsUseWallClock: the core gets the time of day that wallClock has adopted, not
+// the current reading of the operating system.
 func TestDecisionsHoldOffJumps(t *testing.T) {
 	n := &Node{steady: steadyClock(), log: &log.Logger{Writer: log.IOWriter{Writer: t.Output()}}}
 	const jump = time.Hour
 	n.wall.read(n.clock(), time.Now().Add(jump).UnixMilli())
 	if got := n.instant().UnixMS - time.Now().UnixMilli(); got < jump.Milliseconds()/2 {
-		t.Errorf("a jump back by %v is taken at once: %d ms ahead", jump, got)
+		t.Errorf("a jump back by %v is adopted at once: %d ms ahead", jump, got)
 	}
 }
--- a/node/write_test.go
+++ b/node/write_test.go
@@ -10,8 +10,8 @@
 	"leverstile.dev/kv"
 )
 
-// lateStore carries out writes under their conditions. While it loses them, they wait to be
-// carried out later.
+// lateStore carries out writes under their conditions. While loses is set, it loses them and
+// keeps them in late, to be carried out later.
 type lateStore struct {
 	Store
 	revision int64
@@ -65,8 +65,8 @@
 	return o.write(context.Background(), []kv.Op{kv.Put("k", []byte(value), 0)})
 }
 
-// TestLateWriteUndoesNothing: a write whose answer was lost, and that is carried out after a later
-// one, would bring back tasks that are done.
+// TestLateWriteUndoesNothing: a write whose answer was lost, and that is carried out after a
+// later one, must not restore tasks that are done.
 func TestLateWriteUndoesNothing(t *testing.T) {
 	o, s := writingOwner(t)
 	s.loses = true
@@ -89,15 +89,15 @@
 	o, s := writingOwner(t)
 	s.carryOut(kv.Txn{Then: []kv.Op{kv.Put(leadKey, []byte("2"), 0)}})
 	if o.put("old") || s.pairs["k"].Value != nil {
-		t.Error("it writes")
+		t.Error("the replaced owner's write was accepted")
 	}
 	if o.ctx.Err() == nil {
-		t.Error("its ownership goes on")
+		t.Error("the ownership did not end")
 	}
 }
 
-// TestWriteCarriedOutWithoutAnAnswer: the owner goes on after it, with the revisions that the
-// store tells.
+// TestWriteCarriedOutWithoutAnAnswer: the owner continues after such a write, with the
+// revisions that the store returns.
 func TestWriteCarriedOutWithoutAnAnswer(t *testing.T) {
 	o, s := writingOwner(t)
 	s.loses = true
@@ -105,9 +105,9 @@
 	s.loses = false
 	s.carryOut(s.late[0])
 	if o.put("second") {
-		t.Error("a write is taken under conditions that no longer hold")
+		t.Error("a write is accepted under conditions that no longer hold")
 	}
 	if !o.put("second") || o.ctx.Err() != nil {
-		t.Error("the owner can't write on")
+		t.Error("the owner can't write any more")
 	}
 }
