--- a/node/record.go
+++ b/node/record.go
@@ -12,7 +12,7 @@
 
 // Limits and intervals of the writes of progress.
 const (
-	// flushInterval is the pause after a write, which collects changes for the next one.
+	// flushInterval is the pause after a write, which collects changes of progress for the next.
 	flushPause = 40 * time.Millisecond
 	// flushIntervalBehind is the same while more jobs wait than one write takes:
 	// at most 70 writes a second, of 400 that the store takes.
--- a/node/removal.go
+++ b/node/removal.go
@@ -14,7 +14,7 @@
 	// one write.
 	removeJobs = 8
 	// maxRetriedRemovals is the same where each is removed under a condition of its own,
-	// of 32 entries that the store takes in all.
+	// of 32 entries that the store takes in total.
 	removeAgainJobs = 6
 )
 
--- a/node/roster.go
+++ b/node/roster.go
@@ -26,7 +26,7 @@
 			inParts = string(p.Value) == rosterInParts
 			sound = sound && inParts
 			if !inParts {
-				n.noteUnreadable("roster_unreadable", p.Key, p.ModRevision, errors.New("not in parts"))
+				n.noteUnreadable("roster_unreadable", p.Key, p.ModRevision, errors.New("the roster is not stored in parts"))
 			}
 			continue
 		}
