--- a/node/contact.go
+++ b/node/contact.go
@@ -101,7 +101,7 @@
 		if !o.mayAct(ctx) {
 			return
 		}
-		reply, outcome := o.node.workers.Hold(ctx, plan.Order)
+		reply, outcome := o.node.workers.Poll(ctx, plan.Order)
 		if ctx.Err() != nil {
 			return
 		}
--- a/node/crasher_test.go
+++ b/node/crasher_test.go
@@ -19,8 +19,8 @@
 	for i := range 6 {
 		w := wiretest.StartWorker(c.store, wiretest.WorkerOptions{
 			ID: fmt.Sprintf("c-%d", i), Service: "svc", Work: func(string) time.Duration { return 50 * time.Millisecond },
-			Crashes: func(task string) bool { return task == bad+".0.0.2" },
-			Away:    func() time.Duration { return 300 * time.Millisecond },
+			Crashes:  func(task string) bool { return task == bad+".0.0.2" },
+			Downtime: func() time.Duration { return 300 * time.Millisecond },
 		})
 		w.OnRun(c.note)
 		c.workers = append(c.workers, w)
--- a/node/election.go
+++ b/node/election.go
@@ -153,7 +153,7 @@
 	if err == nil {
 		return lead
 	}
-	n.noteUnreadable("lead_unreadable", p.Key, p.ModRevision, err)
+	n.logUnreadable("lead_unreadable", p.Key, p.ModRevision, err)
 	if p.Lease == 0 {
 		return nil
 	}
--- a/node/load.go
+++ b/node/load.go
@@ -53,11 +53,11 @@
 	now := n.instant()
 	o.rosterMarked = n.readRoster(core, s.own.pairs, now)
 	n.takeKnown(core, s.own.pairs)
-	o.noteWaveRecords(s.own.pairs)
+	o.loadWaveRecords(s.own.pairs)
 	core.SetConfig(config)
-	n.evacuations.note(s.evacuations)
+	n.evacuations.update(s.evacuations)
 	core.SetEvacuated(n.evacuations.evacuated())
-	n.noteUnusable(s.workers.Unusable)
+	n.recordUnusable(s.workers.Unusable)
 	core.SetWorkers(s.workers.Workers, now)
 	n.loadJobs(core, s.progress.pairs, s.intake.pairs, now)
 	o.mu.Lock()
@@ -125,14 +125,14 @@
 func (n *Node) takeKnown(core *dispatch.Core, own []kv.Pair) {
 	for _, p := range own {
 		switch p.Key {
-		case unheardKey:
+		case unreadKey:
 			if err := core.RecoverUnread(p.Value); err != nil {
-				n.noteUnreadable("unheard_unreadable", p.Key, p.ModRevision, err)
+				n.logUnreadable("unheard_unreadable", p.Key, p.ModRevision, err)
 			}
 		case learntKey:
 			if err := core.TakeLearnt(p.Value); err != nil {
 				// The record only saves time: the new owner learns again.
-				n.noteUnreadable("learnt_unreadable", p.Key, p.ModRevision, err)
+				n.logUnreadable("learnt_unreadable", p.Key, p.ModRevision, err)
 			}
 		}
 	}
@@ -154,14 +154,14 @@
 		}
 		spec, err := decodeSpec(p)
 		if err != nil {
-			n.noteUnreadable("job_unreadable", p.Key, p.ModRevision, err)
+			n.logUnreadable("job_unreadable", p.Key, p.ModRevision, err)
 			core.HoldJob(id)
 			continue
 		}
 		var done *job.Progress
 		if record, ok := stored[id]; ok {
 			if done, err = decodeProgress(record, spec); err != nil {
-				n.noteUnreadable("progress_unreadable", record.Key, record.ModRevision, err)
+				n.logUnreadable("progress_unreadable", record.Key, record.ModRevision, err)
 				core.HoldJob(id)
 				continue
 			}
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -30,7 +30,7 @@
 		unreadable:  set.NewCounter("leverstile_unreadable_keys_total"),
 		decisions:   set.NewCounter("leverstile_decisions_total"),
 		unlogged:    set.NewCounter("leverstile_decisions_unlogged_total"),
-		storeUp:     set.NewGauge("leverstile_store_up", func() float64 { return boolGauge(n.store.quiet() == 0) }),
+		storeUp:     set.NewGauge("leverstile_store_up", func() float64 { return boolGauge(n.store.outage() == 0) }),
 		ownerTerm: set.NewGauge("leverstile_owned_term", func() float64 {
 			if o := n.current.Load(); o != nil {
 				return float64(o.own.lead.Term)
--- a/node/mute_test.go
+++ b/node/mute_test.go
@@ -22,9 +22,9 @@
 // afterwards run, a cancelled one is stopped, and earlier tasks keep running, under one start.
 func TestConnectionsThatFallSilentForGood(t *testing.T) {
 	c := newCell(t, 0, 0)
-	var muters []*wiretest.Muter
+	var muters []*wiretest.BlackholeProxy
 	wrap := func(address string) string {
-		m, err := wiretest.NewMuter(address)
+		m, err := wiretest.NewBlackholeProxy(address)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -55,14 +55,14 @@
 	for round := range 3 {
 		time.Sleep(leaseRead) // a run's lease is short until the worker was polled after its start
 		for _, m := range muters {
-			m.Mute()
+			m.Blackhole()
 		}
 		submit(round % 2)
 		submit((round + 1) % 2)
 	}
 	time.Sleep(leaseRead)
 	for _, m := range muters {
-		m.Mute()
+		m.Blackhole()
 	}
 	c.await("the cancellation", func() bool { status, _, _ := c.call(0, "DELETE", id(1), ""); return status/100 == 2 })
 	c.await("the end of the cancelled tasks", func() bool {
--- a/node/node.go
+++ b/node/node.go
@@ -73,7 +73,7 @@
 	waves   waveList
 	// badEntries are unusable entries of workers, badKeys other keys that can't be
 	// read; unusable is the number of the former.
-	badEntries, badKeys complaints
+	badEntries, badKeys reportedProblems
 	unusable            atomic.Int64
 	// evacuations are the evacuated data centres that this entry has a record of.
 	evacuations evacuationList
@@ -90,7 +90,7 @@
 func New(opts Options, ports Ports, logger *log.Logger, set *metrics.Set) *Node {
 	n := &Node{
 		opts: opts, lister: ports.Lister, workers: ports.Workers, advisor: ports.Advisor, vms: ports.VMs, log: logger, steady: clock.New(),
-		peers: newPeerClient(), hints: make(chan struct{}, mostHints), drained: make(chan struct{}),
+		peers: newPeerClient(), hints: make(chan struct{}, maxHints), drained: make(chan struct{}),
 	}
 	p := &n.opts.Params
 	p.OwnerTTL, p.OwnerHorizon = max(ownerTTL, opts.MinLeaseTTL), ownerHorizon
@@ -129,7 +129,7 @@
 
 // Ready reports whether the platform should send new connections here.
 func (n *Node) Ready() bool {
-	return !n.draining.Load() && n.config.Load() != nil && n.store.quiet() < unreadyQuiet
+	return !n.draining.Load() && n.config.Load() != nil && n.store.outage() < unreadyOutage
 }
 
 func (n *Node) setOwner(lead *leadRecord) {
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -123,7 +123,7 @@
 	tn.done.Go(func() { _ = tn.peers.Serve(l) })
 	tn.done.Go(func() { _ = n.RunOperators(ctx) })
 	tn.done.Go(func() { _ = n.RunElection(ctx) })
-	tn.front = httptest.NewServer(platform.NewFront(n, logger, set))
+	tn.front = httptest.NewServer(platform.NewCallHandler(n, logger, set))
 	return tn
 }
 
--- a/node/owner.go
+++ b/node/owner.go
@@ -110,8 +110,8 @@
 	rev, err := o.load()
 	if err == nil {
 		n.current.Store(o)
-		o.locked(o.takeWaves) // one may have been seen since the load
-		o.locked(o.takeEvacuations)
+		o.locked(o.applyWaves) // one may have been seen since the load
+		o.locked(o.applyEvacuations)
 		o.running.Go(func() { o.intakeLoop(rev) })
 		o.running.Go(o.listLoop)
 		o.running.Go(o.pollersLoop)
@@ -209,7 +209,7 @@
 		o.running.Go(func() { o.ask(ask) })
 	}
 	for _, order := range maintenanceOrders {
-		o.running.Go(func() { o.beginUpkeep(order) })
+		o.running.Go(func() { o.beginMaintenance(order) })
 	}
 }
 
--- a/node/pollers_test.go
+++ b/node/pollers_test.go
@@ -20,7 +20,7 @@
 	polls atomic.Int32
 }
 
-func (w *countedPolls) Hold(context.Context, dispatch.PollRequest) (dispatch.PollReply, dispatch.Outcome) {
+func (w *countedPolls) Poll(context.Context, dispatch.PollRequest) (dispatch.PollReply, dispatch.Outcome) {
 	w.polls.Add(1)
 	return dispatch.PollReply{}, dispatch.OutcomeUnknown
 }
--- a/node/record.go
+++ b/node/record.go
@@ -127,7 +127,7 @@
 func (o *owner) recordOps(records []dispatch.Record, roster []dispatch.RosterPart, unread, learnt []byte) []kv.Op {
 	var ops []kv.Op
 	if unread != nil {
-		ops = append(ops, kv.Put(unheardKey, unread, 0))
+		ops = append(ops, kv.Put(unreadKey, unread, 0))
 	}
 	if len(roster) > 0 && !o.rosterMarked {
 		ops = append(ops, kv.Put(rosterKey, []byte(rosterInParts), 0))
--- a/node/repeated_start_test.go
+++ b/node/repeated_start_test.go
@@ -22,15 +22,15 @@
 	var starts atomic.Int32
 	breakFirst := func(path string) wiretest.WorkerFault {
 		if path != "/run-start" {
-			return wiretest.WorkerSound
+			return wiretest.WorkerNoFault
 		}
 		switch starts.Add(1) {
 		case 1:
 			return wiretest.WorkerLost // carried out, and the connection ends without an answer
 		case 2:
-			return wiretest.WorkerUnwell
+			return wiretest.WorkerUnavailable
 		default:
-			return wiretest.WorkerSound
+			return wiretest.WorkerNoFault
 		}
 	}
 	for _, name := range []string{"i-a", "i-b"} {
--- a/node/restart_test.go
+++ b/node/restart_test.go
@@ -55,9 +55,9 @@
 	clocks := []int64{400_000, 3}
 	c := newCell(t, 1, 0)
 	w := c.startSameID("i-a", wiretest.WorkerOptions{
-		Work:       func(string) time.Duration { return time.Hour },
-		Lasting:    func(string) bool { return true },
-		ClockStart: func(incarnation int) int64 { return clocks[min(incarnation, len(clocks))-1] },
+		Work:        func(string) time.Duration { return time.Hour },
+		LongRunning: func(string) bool { return true },
+		ClockStart:  func(incarnation int) int64 { return clocks[min(incarnation, len(clocks))-1] },
 	})
 	c.submit(0, id(1), `{"spec":"s","steps":[{"count":3,"cpu":500,"mem_mb":100,"long_running":true}]}`)
 	c.await("tasks that run", func() bool { return w.Running() == 3 })
--- a/node/roster.go
+++ b/node/roster.go
@@ -26,7 +26,7 @@
 			inParts = string(p.Value) == rosterInParts
 			sound = sound && inParts
 			if !inParts {
-				n.noteUnreadable("roster_unreadable", p.Key, p.ModRevision, errors.New("the roster is not stored in parts"))
+				n.logUnreadable("roster_unreadable", p.Key, p.ModRevision, errors.New("the roster is not stored in parts"))
 			}
 			continue
 		}
@@ -36,7 +36,7 @@
 		}
 		part, err := dispatch.DecodeRoster(dispatch.RosterPart{Number: number, Value: p.Value})
 		if err != nil {
-			n.noteUnreadable("roster_unreadable", p.Key, p.ModRevision, err)
+			n.logUnreadable("roster_unreadable", p.Key, p.ModRevision, err)
 			sound = false
 			continue
 		}
--- a/node/suspended_test.go
+++ b/node/suspended_test.go
@@ -13,7 +13,7 @@
 // steadyClock is a clock that does not detect suspensions, for tests on simulated time.
 func steadyClock() *clock.Clock {
 	start := time.Now()
-	return clock.NewOf(clock.Sources{
+	return clock.NewWithSources(clock.Sources{
 		Monotonic: func() time.Duration { return time.Since(start) },
 		Boot:      func() (time.Duration, bool) { return 0, false },
 		Wall:      func() time.Duration { return time.Since(start) },
@@ -26,7 +26,7 @@
 
 func (v *suspendedVM) clock() *clock.Clock {
 	all := func() time.Duration { return v.mono + v.asleep }
-	return clock.NewOf(clock.Sources{
+	return clock.NewWithSources(clock.Sources{
 		Monotonic: func() time.Duration { return v.mono },
 		Boot:      func() (time.Duration, bool) { return all(), true },
 		Wall:      all,
