--- a/node/backoff.go
+++ b/node/backoff.go
@@ -8,16 +8,16 @@
 
 // backoff yields exponentially growing pauses, with random jitter over their upper half.
 type backoff struct {
-	least, most time.Duration
-	n           int
+	minDelay, maxDelay time.Duration
+	tries              int
 }
 
-func (b *backoff) reset() { b.n = 0 }
+func (b *backoff) reset() { b.tries = 0 }
 
 // next returns the pause before the next try.
 func (b *backoff) next() time.Duration {
-	d := min(b.least<<min(b.n, 10), b.most)
-	b.n++
+	d := min(b.minDelay<<min(b.tries, 10), b.maxDelay)
+	b.tries++
 	return d/2 + rand.N(d/2+1)
 }
 
--- a/node/campaign.go
+++ b/node/campaign.go
@@ -11,7 +11,7 @@
 const (
 	// noHandicapShare is the part of a core from which a VM has no handicap: an owner of
 	// 490 workers used 0.51 at its peak, 0.02 on average.
-	amplyStrong = 0.4
+	noHandicapShare = 0.4
 	// handicapPerCore is the delay of weaker VMs per core that they lack: 0.3 s at
 	// 0.3 of a core, 0.6 s at 0.2. An election takes under 0.1 s.
 	handicapPerCore = 3 * time.Second
@@ -44,8 +44,8 @@
 // handicap is the additional delay of a weak VM: stronger ones stand before it, and it
 // takes over if there are none.
 func handicap(share float64) time.Duration {
-	if share <= 0 || share >= amplyStrong {
+	if share <= 0 || share >= noHandicapShare {
 		return 0
 	}
-	return time.Duration((amplyStrong - share) * float64(handicapPerCore))
+	return time.Duration((noHandicapShare - share) * float64(handicapPerCore))
 }
--- a/node/campaign_test.go
+++ b/node/campaign_test.go
@@ -115,7 +115,7 @@
 // It guards against a cell without an owner for as long as all entries stand for election
 // repeatedly: at 587 entries the answers filled the store's link, and no call for a
 // lease was answered in time.
-func TestAChangeOfTheOwnerCostsTheStoreTheSame(t *testing.T) {
+func TestOwnerChangeCostDoesNotGrowWithEntries(t *testing.T) {
 	for _, entries := range []int{6, 60, 600, 6000} {
 		t.Run(fmt.Sprint(entries), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { changeOwners(t, entries) })
@@ -159,9 +159,9 @@
 	running.Wait()
 }
 
-// electionTakes is how long a won election takes until others learn of it: three calls to
+// electionDuration is how long a won election takes until others learn of it: three calls to
 // the store of 7 ms each.
-const electionTakes = 21 * time.Millisecond
+const electionDuration = 21 * time.Millisecond
 
 // TestCampaignDelays: at least one entry stands within all slots, and few stand within the
 // time in which the first one wins.
@@ -180,7 +180,7 @@
 				t.Fatalf("%d entries: the first stands after %v", entries, first)
 			}
 			for _, d := range delays {
-				if d <= first+electionTakes {
+				if d <= first+electionDuration {
 					early++
 				}
 			}
--- a/node/contact.go
+++ b/node/contact.go
@@ -15,9 +15,9 @@
 	freezeMargin = 200 * time.Millisecond
 	// slotTimeout is how long an order may wait to be sent: a start must arrive
 	// 1.4 s after it was decided, tries included.
-	slotWait = 500 * time.Millisecond
+	slotTimeout = 500 * time.Millisecond
 	// repollInterval is the least pause between checks for workers without a poller.
-	repollPause = 50 * time.Millisecond
+	repollInterval = 50 * time.Millisecond
 )
 
 // syncPollers starts a poller for each worker that has none, and ends those of workers
@@ -72,7 +72,7 @@
 		case <-o.repoll:
 		}
 		o.syncPollers()
-		if !sleep(o.ctx, repollPause) {
+		if !sleep(o.ctx, repollInterval) {
 			return
 		}
 	}
@@ -148,7 +148,7 @@
 	default:
 	}
 	began := o.node.clock()
-	timer := time.NewTimer(slotWait)
+	timer := time.NewTimer(slotTimeout)
 	defer timer.Stop()
 	sent := false
 	select {
@@ -157,15 +157,15 @@
 	case <-timer.C:
 	case <-o.ctx.Done():
 	}
-	o.noteWaited(o.node.clock() - began)
+	o.recordWait(o.node.clock() - began)
 	return sent
 }
 
 // recordWait records how long an order waited to be sent.
-func (o *owner) noteWaited(d time.Duration) {
+func (o *owner) recordWait(d time.Duration) {
 	for {
-		longest := o.waited.Load()
-		if int64(d) <= longest || o.waited.CompareAndSwap(longest, int64(d)) {
+		longest := o.longestWait.Load()
+		if int64(d) <= longest || o.longestWait.CompareAndSwap(longest, int64(d)) {
 			return
 		}
 	}
@@ -176,22 +176,22 @@
 func (o *owner) mayAct(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		o.mu.Lock()
-		o.noticeFreeze()
+		o.detectFreeze()
 		suspended := o.suspended
 		o.mu.Unlock()
 		if !suspended {
 			return true
 		}
-		sleep(ctx, tickPause/4)
+		sleep(ctx, tickInterval/4)
 	}
 	return false
 }
 
 // detectFreeze suspends orders if the process did not run for a while, since the
 // lease may have expired. The next renewal resumes them.
-func (o *owner) noticeFreeze() {
+func (o *owner) detectFreeze() {
 	now := o.node.clock()
-	if pause := now - o.lastAlive; pause > tickPause+o.node.opts.FreezeSlack+freezeMargin && !o.suspended {
+	if pause := now - o.lastAlive; pause > tickInterval+o.node.opts.FreezeSlack+freezeMargin && !o.suspended {
 		o.suspended = true
 		o.node.log.Warn().Str("event", "owner_suspended").Dur("pause", pause).Msg("")
 	}
@@ -199,10 +199,10 @@
 }
 
 // requestAdvice makes one call to the placement policy; others wait their turn.
-func (o *owner) ask(req dispatch.AdviceRequest) {
-	o.asking.Lock()
+func (o *owner) requestAdvice(req dispatch.AdviceRequest) {
+	o.adviceMu.Lock()
 	good, err := o.node.advisor.Advise(o.ctx, req)
-	o.asking.Unlock()
+	o.adviceMu.Unlock()
 	if o.ctx.Err() != nil {
 		return
 	}
--- a/node/crasher_test.go
+++ b/node/crasher_test.go
@@ -13,7 +13,7 @@
 // TestEntriesReportWhyAJobFailed: each entry reports that the job's task crashes its workers,
 // also those that do not own the cell and, after the owner has ended, from the store. Another
 // job succeeds meanwhile.
-func TestCustomerHearsWhyAJobFailed(t *testing.T) {
+func TestEntriesReportWhyAJobFailed(t *testing.T) {
 	c := newCell(t, 2, 0)
 	bad, good := id(1), id(2)
 	for i := range 6 {
@@ -22,7 +22,7 @@
 			Crashes:  func(task string) bool { return task == bad+".0.0.2" },
 			Downtime: func() time.Duration { return 300 * time.Millisecond },
 		})
-		w.OnRun(c.note)
+		w.OnRun(c.recordRun)
 		c.workers = append(c.workers, w)
 	}
 	c.submit(0, bad, twoSteps)
--- a/node/election.go
+++ b/node/election.go
@@ -20,11 +20,11 @@
 	ownerTTL = 2500 * time.Millisecond
 	// renewInterval is the pause between renewals, renewRetryInterval that after one that
 	// failed.
-	ownerRenew      = 500 * time.Millisecond
-	ownerRenewRetry = 100 * time.Millisecond
+	renewInterval      = 500 * time.Millisecond
+	renewRetryInterval = 100 * time.Millisecond
 	// renewTimeout bounds a renewal, so that two may be lost on connections that have
 	// fallen silent and the third is still in time.
-	renewTry = 700 * time.Millisecond
+	renewTimeout = 700 * time.Millisecond
 	// ownerHorizon is the time after its last renewal from which an owner that does not
 	// reach the store gives no more orders. It outlasts the users' outages of the store
 	// (9 s), so that running tasks keep their leases. The term, which workers check,
@@ -61,7 +61,7 @@
 // run takes part in the election until ctx ends.
 func (e *election) run(ctx context.Context) error {
 	e.session = xid.New().String()
-	wait := backoff{least: electionRetryMin, most: electionRetryMax}
+	wait := backoff{minDelay: electionRetryMin, maxDelay: electionRetryMax}
 	for ctx.Err() == nil {
 		err := e.round(ctx)
 		if err == nil {
@@ -163,11 +163,11 @@
 // awaitChange watches the owner's key until it changes, for no longer than limit unless
 // that is 0. It returns what the key holds then.
 func (e *election) awaitChange(ctx context.Context, s leadState, limit time.Duration) (after leadState, changed bool, err error) {
-	wctx, cancel := withMost(ctx, limit)
+	wctx, cancel := withOptionalTimeout(ctx, limit)
 	defer cancel()
 	err = e.watchLead()(wctx, leadKey, s.revision, func(at int64, events []kv.Event) {
 		s.revision = at
-		if e.takeLead(&s, events) {
+		if e.applyLeadEvents(&s, events) {
 			changed = true
 			cancel()
 		}
@@ -194,7 +194,7 @@
 }
 
 // withOptionalTimeout is context.WithTimeout, without a timeout if limit is 0.
-func withMost(ctx context.Context, limit time.Duration) (context.Context, context.CancelFunc) {
+func withOptionalTimeout(ctx context.Context, limit time.Duration) (context.Context, context.CancelFunc) {
 	if limit == 0 {
 		return context.WithCancel(ctx)
 	}
@@ -202,7 +202,7 @@
 }
 
 // applyLeadEvents applies changes of the owner's key, and reports whether there were any.
-func (e *election) takeLead(s *leadState, events []kv.Event) bool {
+func (e *election) applyLeadEvents(s *leadState, events []kv.Event) bool {
 	changed := false
 	for _, ev := range events {
 		if ev.Pair.Key != leadKey {
@@ -266,7 +266,7 @@
 		return nil, errors.Trace(err)
 	}
 	if !res.Succeeded {
-		e.node.endLease(lease)
+		e.node.revokeLease(lease)
 		return nil, nil
 	}
 	won.leadRev, won.chainRev = res.Revision, res.Revision
--- a/node/end_test.go
+++ b/node/end_test.go
@@ -10,12 +10,12 @@
 // retryingWorkers are Workers where an aborted call is in flight again until it was
 // aborted a number of times: it waited for a connection, or was retried
 // on a new one.
-type tenacious struct {
+type retryingWorkers struct {
 	Workers
 	aborts chan struct{}
 }
 
-func (w *tenacious) Abort() {
+func (w *retryingWorkers) Abort() {
 	select {
 	case w.aborts <- struct{}{}:
 	default:
@@ -27,11 +27,11 @@
 //
 // It guards against up to 2 s without an owner, the time of a long poll, at each restart
 // of an owner that has a worker whose connections are all in use.
-func TestEndBreaksOffAllCalls(t *testing.T) {
+func TestEndAbortsAllCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const longPoll = time.Hour
 		ctx, stop := context.WithCancelCause(context.Background())
-		workers := &tenacious{aborts: make(chan struct{})}
+		workers := &retryingWorkers{aborts: make(chan struct{})}
 		o := &owner{node: &Node{steady: steadyClock(), workers: workers}, ctx: ctx, stop: stop}
 		o.running.Go(func() {
 			for range 3 {
--- a/node/evacuations_test.go
+++ b/node/evacuations_test.go
@@ -20,7 +20,7 @@
 	for i := range each {
 		for zone, list := range map[string]*[]*wiretest.Worker{"b": &inB, "c": &inC} {
 			w := wiretest.NewWorkerInZone(c.store, zone, fmt.Sprintf("i-%s-%d", zone, i), "svc", 30*time.Millisecond)
-			w.OnRun(c.note)
+			w.OnRun(c.recordRun)
 			*list = append(*list, w)
 			c.workers = append(c.workers, w)
 		}
--- a/node/handover_test.go
+++ b/node/handover_test.go
@@ -21,7 +21,7 @@
 	c := newCell(t, 0, 0)
 	for i := range 2 {
 		w := wiretest.NewWorker(c.store, fmt.Sprintf("i-%d", i), "svc", time.Hour)
-		w.OnRun(c.note)
+		w.OnRun(c.recordRun)
 		c.workers = append(c.workers, w)
 	}
 	c.workers[0].CutOff(func(term uint64) bool { return term != 1 })
--- a/node/handoverwrite_test.go
+++ b/node/handoverwrite_test.go
@@ -20,9 +20,9 @@
 // delays the answer to it.
 type slowWrites struct {
 	node.Store
-	job    string
-	begun  atomic.Int32
-	answer time.Duration
+	job            string
+	progressWrites atomic.Int32
+	answer         time.Duration
 }
 
 // Do implements kv.Store.
@@ -32,7 +32,7 @@
 		progress = progress || op.Kind == kv.OpPut && op.Key == "ls/progress/"+s.job
 	}
 	res, err := s.Store.Do(ctx, txn)
-	if progress && s.begun.Add(1) == 1 {
+	if progress && s.progressWrites.Add(1) == 1 {
 		select {
 		case <-ctx.Done():
 			return kv.TxnResult{}, errors.Trace(kv.ErrUnavailable)
@@ -48,7 +48,7 @@
 // The write that the end of the ownership aborts is carried out nevertheless, so that the
 // next one is refused once and must be repeated. A busy owner of a slow store, which
 // takes 0.36 s, nearly always has a write in flight.
-func TestHandoverWritesAfterAWriteThatWasBrokenOff(t *testing.T) {
+func TestHandoverWritesAfterAnAbortedWrite(t *testing.T) {
 	for name, answer := range map[string]time.Duration{"slow": 360 * time.Millisecond, "lost": time.Hour} {
 		t.Run(name, func(t *testing.T) { handOverWhileWriting(t, &slowWrites{job: id(1), answer: answer}) })
 	}
@@ -73,7 +73,7 @@
 	time.Sleep(time.Second) // an idle worker is polled every half second
 	c.submit(0, id(1), twoSteps)
 	c.await("the second step", func() bool { return c.startsOf(id(1)) == 6 }) // the owner has processed the end of the first
-	if n := store.begun.Load(); n != 1 {
+	if n := store.progressWrites.Load(); n != 1 {
 		t.Fatalf("%d writes of progress, want one that waits", n)
 	}
 	c.nodes[0].node.Drain()
--- a/node/intake.go
+++ b/node/intake.go
@@ -101,7 +101,7 @@
 // same customer wrote it before. Fresh is true if this call wrote it.
 func (n *Node) create(ctx context.Context, key string, value []byte) (recorded Recorded, fresh bool) {
 	began := n.clock()
-	wait := backoff{least: writeRetryMin, most: writeRetryMax}
+	wait := backoff{minDelay: writeRetryMin, maxDelay: writeRetryMax}
 	maybeDone := false
 	for {
 		tctx, cancel := context.WithTimeout(ctx, min(writeTryTimeout, writeBudget-(n.clock()-began)))
--- a/node/intakeloop.go
+++ b/node/intakeloop.go
@@ -39,7 +39,7 @@
 
 // intakeLoop processes jobs and cancellations as entries record them.
 func (o *owner) intakeLoop(rev int64) {
-	wait := backoff{least: loadRetryMin, most: loadRetryMax}
+	wait := backoff{minDelay: loadRetryMin, maxDelay: loadRetryMax}
 	for o.ctx.Err() == nil {
 		err := o.node.store.Watch(o.ctx, intakePrefix, rev, func(at int64, events []kv.Event) {
 			rev = at
--- a/node/load.go
+++ b/node/load.go
@@ -24,7 +24,7 @@
 // load builds the core from the store. It returns the revision from which the
 // intake is watched.
 func (o *owner) load() (int64, error) {
-	wait := backoff{least: loadRetryMin, most: loadRetryMax}
+	wait := backoff{minDelay: loadRetryMin, maxDelay: loadRetryMax}
 	s := &storedState{}
 	for {
 		rev, err := o.loadOnce(s)
@@ -52,7 +52,7 @@
 	core := dispatch.New(n.opts.Params, o.own.lead.Term, n.logDecision)
 	now := n.instant()
 	o.rosterMarked = n.readRoster(core, s.own.pairs, now)
-	n.takeKnown(core, s.own.pairs)
+	n.recoverRecords(core, s.own.pairs)
 	o.loadWaveRecords(s.own.pairs)
 	core.SetConfig(config)
 	n.evacuations.update(s.evacuations)
@@ -122,7 +122,7 @@
 }
 
 // recoverRecords reads the previous owner's records of tasks and workers other than the roster.
-func (n *Node) takeKnown(core *dispatch.Core, own []kv.Pair) {
+func (n *Node) recoverRecords(core *dispatch.Core, own []kv.Pair) {
 	for _, p := range own {
 		switch p.Key {
 		case unreadKey:
--- a/node/load_test.go
+++ b/node/load_test.go
@@ -13,14 +13,14 @@
 
 // failingStore refuses the first reads of each range, as many as refusals says, and counts
 // those that it answers.
-type cutStore struct {
+type failingStore struct {
 	Store
 	mu       sync.Mutex
 	refusals map[string]int
 	answered map[string]int
 }
 
-func (s *cutStore) Range(_ context.Context, prefix string) ([]kv.Pair, int64, error) {
+func (s *failingStore) Range(_ context.Context, prefix string) ([]kv.Pair, int64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.refusals[prefix] > 0 {
@@ -31,14 +31,14 @@
 	return []kv.Pair{{Key: prefix + "a"}}, 7, nil
 }
 
-func (*cutStore) ListWorkers(context.Context) (dispatch.WorkerList, error) {
+func (*failingStore) ListWorkers(context.Context) (dispatch.WorkerList, error) {
 	return dispatch.WorkerList{}, nil
 }
 
 // TestLoadKeepsPartsAlreadyRead: parts of the state that a next owner has read are not read
 // again when another part fails.
-func TestALoadKeepsWhatWasRead(t *testing.T) {
-	store := &cutStore{refusals: map[string]int{ownPrefix: 0, progressPrefix: 1, intakePrefix: 3}, answered: map[string]int{}}
+func TestLoadKeepsPartsAlreadyRead(t *testing.T) {
+	store := &failingStore{refusals: map[string]int{ownPrefix: 0, progressPrefix: 1, intakePrefix: 3}, answered: map[string]int{}}
 	n := &Node{steady: steadyClock(), lister: store}
 	n.store = &storeHealth{Store: store, clock: n.clock, changed: func(bool, error) {}}
 	s := &storedState{}
--- a/node/node.go
+++ b/node/node.go
@@ -66,11 +66,11 @@
 	drained  chan struct{} // closed by Drain
 	// skipRoutineLogs is set while the owner lacks processor time: routine decisions
 	// are counted, not logged.
-	sparing atomic.Bool
-	peers   *http.Client
-	pending pendingCache
-	wall    wallClock
-	waves   waveList
+	skipRoutineLogs atomic.Bool
+	peers           *http.Client
+	pending         pendingCache
+	wall            wallClock
+	waves           waveList
 	// badEntries are unusable entries of workers, badKeys other keys that can't be
 	// read; unusable is the number of the former.
 	badEntries, badKeys reportedProblems
@@ -152,7 +152,7 @@
 // logDecision logs a decision of the core.
 func (n *Node) logDecision(d dispatch.Decision) {
 	n.metrics.decisions.Inc()
-	if d.Routine() && n.sparing.Load() {
+	if d.Routine() && n.skipRoutineLogs.Load() {
 		n.metrics.unlogged.Inc()
 		return
 	}
@@ -184,8 +184,8 @@
 	e.Msg("")
 }
 
-// endLease revokes a lease; one that can't be revoked expires by itself.
-func (n *Node) endLease(lease int64) {
+// revokeLease revokes a lease; one that can't be revoked expires by itself.
+func (n *Node) revokeLease(lease int64) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	if err := n.store.Revoke(ctx, lease); err != nil {
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -32,16 +32,16 @@
 
 // cell is a simulated platform with nodes on loopback ports.
 type cell struct {
-	t       *testing.T
-	store   *wiretest.Store
-	workers []*wiretest.Worker
-	nodes   []*testNode
-	mu      sync.Mutex
-	running map[string]int
-	doubled []string
-	jobKept time.Duration
-	advisor string // address of the placement policy
-	cloud   string // address of the interface that takes orders for VMs
+	t               *testing.T
+	store           *wiretest.Store
+	workers         []*wiretest.Worker
+	nodes           []*testNode
+	mu              sync.Mutex
+	running         map[string]int
+	concurrentTasks []string
+	jobKept         time.Duration
+	advisor         string // address of the placement policy
+	cloud           string // address of the interface that takes orders for VMs
 	// wrap, if set, wraps the store that a node uses.
 	wrap func(node string, s node.Store) node.Store
 }
@@ -62,7 +62,7 @@
 	c.store.Put("op/config", fmt.Appendf(nil, configText, 1))
 	for i := range workers {
 		w := wiretest.NewWorker(c.store, fmt.Sprintf("i-%d", i), "svc", 30*time.Millisecond)
-		w.OnRun(c.note)
+		w.OnRun(c.recordRun)
 		c.workers = append(c.workers, w)
 	}
 	for i := range nodes {
@@ -72,12 +72,12 @@
 }
 
 // recordRun records starts and ends of runs; a task that runs twice at a time is a failure.
-func (c *cell) note(task string, delta int) {
+func (c *cell) recordRun(task string, delta int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.running[task] += delta
 	if c.running[task] > 1 {
-		c.doubled = append(c.doubled, task)
+		c.concurrentTasks = append(c.concurrentTasks, task)
 	}
 }
 
@@ -199,8 +199,8 @@
 	c.t.Helper()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.doubled) > 0 {
-		c.t.Errorf("tasks ran twice at a time: %v", c.doubled)
+	if len(c.concurrentTasks) > 0 {
+		c.t.Errorf("tasks ran twice at a time: %v", c.concurrentTasks)
 	}
 }
 
@@ -208,7 +208,7 @@
 
 func id(n int) string { return fmt.Sprintf("%016x", n) }
 
-func TestJobsRunWhicheverEntryTakesThem(t *testing.T) {
+func TestJobsRunWhicheverEntryAcceptsThem(t *testing.T) {
 	c := newCell(t, 3, 3)
 	for i := range 9 {
 		c.submit(i%3, id(i), twoSteps)
@@ -245,7 +245,7 @@
 	}
 }
 
-func TestCallsThatAreNotServed(t *testing.T) {
+func TestRejectedCalls(t *testing.T) {
 	c := newCell(t, 1, 1)
 	c.submit(0, id(1), twoSteps)
 	for _, x := range []struct {
@@ -275,7 +275,7 @@
 	}
 }
 
-func TestCancelStopsAndIsShown(t *testing.T) {
+func TestCancelStopsTasks(t *testing.T) {
 	c := newCell(t, 2, 1)
 	c.submit(0, id(1), `{"spec":"s","steps":[{"count":2,"cpu":500,"long_running":true}]}`)
 	c.awaitState(1, id(1), "running")
@@ -297,7 +297,7 @@
 
 // An answer of the store that is lost leaves the outcome open: the customer
 // gets 504, never an answer that the job was not accepted.
-func TestAnswersOfTheStoreDecideWhatCustomersHear(t *testing.T) {
+func TestStoreAnswersDecideSubmitStatus(t *testing.T) {
 	c := newCell(t, 1, 1)
 	c.submit(0, id(1), twoSteps)
 	c.awaitState(0, id(1), "succeeded")
@@ -369,7 +369,7 @@
 	c.checkRuns()
 }
 
-func TestConfigurationNeverGoesBack(t *testing.T) {
+func TestConfigVersionNeverDecreases(t *testing.T) {
 	c := newCell(t, 1, 1)
 	version := func() int64 {
 		if conf := c.nodes[0].node.Config(); conf != nil {
@@ -457,7 +457,7 @@
 }
 
 // The jobs service serves the same jobs at every entry.
-func TestOwnInterfaceToJobs(t *testing.T) {
+func TestJobsService(t *testing.T) {
 	c := newCell(t, 2, 1)
 	c.submit(0, id(1), `{"spec":"s","steps":[{"count":1,"cpu":500,"long_running":true}]}`)
 	c.awaitState(1, id(1), "running")
--- a/node/operators.go
+++ b/node/operators.go
@@ -30,7 +30,7 @@
 // evacuations and maintenance waves. The store ends a watch without events within
 // 1.5 s, and it is restarted.
 func (n *Node) RunOperators(ctx context.Context) error {
-	f := &operatorsFollower{node: n, wait: backoff{least: operatorsRetryMin, most: operatorsRetryMax}}
+	f := &operatorsFollower{node: n, wait: backoff{minDelay: operatorsRetryMin, maxDelay: operatorsRetryMax}}
 	for ctx.Err() == nil {
 		err := f.follow(ctx)
 		switch {
--- a/node/owner.go
+++ b/node/owner.go
@@ -16,39 +16,39 @@
 // Limits and intervals of the owner's loops.
 const (
 	// tickInterval is the pause between ticks of the core.
-	tickPause = 100 * time.Millisecond
+	tickInterval = 100 * time.Millisecond
 	// scheduleInterval is the shortest pause between scheduling passes of the core.
-	schedulePause = 8 * time.Millisecond
+	scheduleInterval = 8 * time.Millisecond
 	// maxOrders is the most orders in flight at once; more wait. At 1,000 starts a second
 	// and 5 ms a call, 5 are in flight. Stops and polls don't wait: running tasks must not
 	// be lost.
-	mostOrders = 256
+	maxOrders = 256
 	// On a small link fewer orders are in flight: as many as it carries in linkWindow, at
 	// orderBytes a start, mostly the job's payload. A call times out after 400 ms and is
 	// sent again: with 256 in flight on 2 Mbit/s, 1,205 calls got no answer in the first
 	// 4 s, 291 starts were confirmed, and leases expired since polls came late. With this
 	// bound 0.17 instead of 0.05 of the work was served there, and no lease expired on a
 	// day with few faults; half and twice of linkWindow give the same result.
-	linkAhead  = 100 * time.Millisecond
+	linkWindow = 100 * time.Millisecond
 	orderBytes = 2700
 	// minOrders may be in flight however small the link.
-	leastOrders = 8
+	minOrders = 8
 	// maxHandoverWrites is the most writes at a handover: one of maxFlushRecords jobs
 	// mostly holds all. The first is refused if the write that the end of the ownership
 	// aborted was carried out nevertheless.
-	handOverWrites = 4
+	maxHandoverWrites = 4
 	// abortInterval is the pause before calls that are still in flight at the end of an
 	// ownership are aborted again.
-	abortPause = 20 * time.Millisecond
+	abortInterval = 20 * time.Millisecond
 )
 
 // orderLimit returns how many orders may be in flight on a link of so many bytes per
 // second; 0 means unknown.
-func ordersFor(linkBytes float64) int {
+func orderLimit(linkBytes float64) int {
 	if linkBytes <= 0 {
-		return mostOrders
+		return maxOrders
 	}
-	return min(max(int(linkBytes*linkAhead.Seconds()/orderBytes), leastOrders), mostOrders)
+	return min(max(int(linkBytes*linkWindow.Seconds()/orderBytes), minOrders), maxOrders)
 }
 
 // errNotOwner ends an ownership.
@@ -64,13 +64,13 @@
 	// lastWriteUnknown, which is set if the newest write may have been carried out without
 	// an answer, rosterMarked, which is set once the store records that the roster is
 	// stored in parts, and removal.
-	writing      sync.Mutex
-	unsure       bool
-	rosterMarked bool
-	removal      unsureRemoval
-	mu           sync.Mutex
-	core         *dispatch.Core
-	polled       map[dispatch.WorkerID]context.CancelFunc
+	writing          sync.Mutex
+	lastWriteUnknown bool
+	rosterMarked     bool
+	removal          unansweredRemoval
+	mu               sync.Mutex
+	core             *dispatch.Core
+	polled           map[dispatch.WorkerID]context.CancelFunc
 	// firstPolls paces the first poll of each worker: after a takeover all are due at once.
 	firstPolls *pacer
 
@@ -78,16 +78,16 @@
 	slots chan struct{}
 	// longestWait is the longest time that an order waited to be sent since the last
 	// tick, in nanoseconds.
-	waited   atomic.Int64
-	wake     chan struct{} // the core has something to schedule
-	flushNow chan struct{}
-	repoll   chan struct{} // a poller has ended because its worker is gone
-	ctx      context.Context
-	stop     context.CancelCauseFunc
+	longestWait atomic.Int64
+	wake        chan struct{} // the core has something to schedule
+	flushNow    chan struct{}
+	repoll      chan struct{} // a poller has ended because its worker is gone
+	ctx         context.Context
+	stop        context.CancelCauseFunc
 	// adviceMu serializes calls to the placement policy, which takes one call of a VM
 	// at a time.
-	asking  sync.Mutex
-	running sync.WaitGroup
+	adviceMu sync.Mutex
+	running  sync.WaitGroup
 	// lastAlive is when the process was last observed to run.
 	lastAlive time.Duration
 	// waveRecords are the stored records of maintenance waves at the takeover, by key.
@@ -101,12 +101,12 @@
 	octx, stop := context.WithCancelCause(ctx)
 	o := &owner{
 		node: n, own: own, polled: map[dispatch.WorkerID]context.CancelFunc{},
-		slots: make(chan struct{}, ordersFor(n.opts.LinkBytes)), wake: make(chan struct{}, 1), flushNow: make(chan struct{}, 1),
+		slots: make(chan struct{}, orderLimit(n.opts.LinkBytes)), wake: make(chan struct{}, 1), flushNow: make(chan struct{}, 1),
 		repoll: make(chan struct{}, 1), firstPolls: newPacer(n.clock, runtime.Gosched), ctx: octx, stop: stop, lastAlive: n.clock(),
 	}
 	n.log.Info().Str("event", "owner_begin").Uint64("term", own.lead.Term).Msg("")
 	o.running.Go(o.renewLoop)
-	o.running.Go(o.aliveLoop)
+	o.running.Go(o.freezeLoop)
 	rev, err := o.load()
 	if err == nil {
 		n.current.Store(o)
@@ -137,7 +137,7 @@
 // under this term.
 func (o *owner) end() {
 	o.node.current.CompareAndSwap(o, nil)
-	o.node.sparing.Store(false)
+	o.node.skipRoutineLogs.Store(false)
 	o.stop(errNotOwner)
 	over := make(chan struct{})
 	go func() {
@@ -151,7 +151,7 @@
 		select {
 		case <-over:
 			return
-		case <-time.After(abortPause):
+		case <-time.After(abortInterval):
 		}
 	}
 }
@@ -164,12 +164,12 @@
 func (o *owner) handOver() {
 	ctx, cancel := context.WithTimeout(context.Background(), flushTimeout)
 	defer cancel()
-	for range handOverWrites {
+	for range maxHandoverWrites {
 		if o.flush(ctx) && !o.unwritten() {
 			break
 		}
 	}
-	o.node.endLease(o.own.lease)
+	o.node.revokeLease(o.own.lease)
 }
 
 // unwritten reports whether changes of the core are still to be written.
@@ -206,7 +206,7 @@
 		o.running.Go(func() { o.send(order) })
 	}
 	for _, ask := range asks {
-		o.running.Go(func() { o.ask(ask) })
+		o.running.Go(func() { o.requestAdvice(ask) })
 	}
 	for _, order := range maintenanceOrders {
 		o.running.Go(func() { o.beginMaintenance(order) })
@@ -226,14 +226,14 @@
 func (o *owner) renewLoop() {
 	for {
 		sent := o.node.clock()
-		pause := ownerRenewRetry
+		pause := renewRetryInterval
 		err := o.renewLease()
 		switch {
 		case o.ctx.Err() != nil:
 			return
 		case err == nil:
-			o.renewed(sent)
-			pause = ownerRenew
+			o.recordRenewal(sent)
+			pause = renewInterval
 		case errors.Is(err, kv.ErrLeaseNotFound):
 			o.node.log.Warn().Str("event", "lease_lost").Uint64("term", o.own.lead.Term).Msg("")
 			o.stop(errNotOwner)
@@ -250,7 +250,7 @@
 }
 
 // renewed records a successful renewal that was sent at the given time.
-func (o *owner) renewed(sent time.Duration) {
+func (o *owner) recordRenewal(sent time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.own.renewed = sent
@@ -266,23 +266,23 @@
 // freezeLoop detects freezes from the start of an ownership on: reading the
 // state of 2,670 workers takes 0.9 s, which would look like a freeze afterwards, and
 // the first poll would wait up to 0.5 s for the next renewal.
-func (o *owner) aliveLoop() {
-	for sleep(o.ctx, tickPause) {
+func (o *owner) freezeLoop() {
+	for sleep(o.ctx, tickInterval) {
 		o.mu.Lock()
-		o.noticeFreeze()
+		o.detectFreeze()
 		o.mu.Unlock()
 	}
 }
 
 // tickLoop ticks the core and reports to it how late the process runs.
 func (o *owner) tickLoop() {
-	for began := o.node.clock(); sleep(o.ctx, tickPause); began = o.node.clock() {
-		late := max(o.node.clock()-began-tickPause, time.Duration(o.waited.Swap(0)))
+	for began := o.node.clock(); sleep(o.ctx, tickInterval); began = o.node.clock() {
+		late := max(o.node.clock()-began-tickInterval, time.Duration(o.longestWait.Swap(0)))
 		o.locked(func(c *dispatch.Core, now dispatch.Instant) {
 			c.ObserveLateness(late, now)
 			c.Tick(now)
 			load, _ := c.Load()
-			o.node.sparing.Store(load >= dispatch.LoadFewReadings)
+			o.node.skipRoutineLogs.Store(load >= dispatch.LoadFewReadings)
 		})
 	}
 }
@@ -296,7 +296,7 @@
 		case <-o.wake:
 		}
 		o.locked(func(c *dispatch.Core, now dispatch.Instant) { c.Schedule(now) })
-		if !sleep(o.ctx, schedulePause) {
+		if !sleep(o.ctx, scheduleInterval) {
 			return
 		}
 	}
--- a/node/owner_bench_test.go
+++ b/node/owner_bench_test.go
@@ -27,8 +27,8 @@
 	// benchPayload is the size of a job's payload in bytes.
 	benchPayload = 2500
 	// benchLongRunning jobs run all the time, with benchLongRunningTasks tasks each.
-	benchLasting      = 49
-	benchLastingTasks = 20
+	benchLongRunning      = 49
+	benchLongRunningTasks = 20
 	// benchTick is the time that one iteration of the benchmark covers.
 	benchTick = 100 * time.Millisecond
 	// benchSettle is the time for connections to be opened and for first polls.
@@ -66,16 +66,16 @@
 	if !in.Scan() {
 		return
 	}
-	go handIn(in.Text())
+	go submitJobs(in.Text())
 	in.Scan()
 }
 
 // submitJobs makes the calls of customers.
-func handIn(front string) {
+func submitJobs(front string) {
 	payload := strings.Repeat("x", benchPayload)
-	longRunning := fmt.Sprintf(`{"spec":%q,"steps":[{"count":%d,"cpu":2000,"mem_mb":100,"long_running":true,"image":"a","target_ms":50}]}`, payload, benchLastingTasks)
+	longRunning := fmt.Sprintf(`{"spec":%q,"steps":[{"count":%d,"cpu":2000,"mem_mb":100,"long_running":true,"image":"a","target_ms":50}]}`, payload, benchLongRunningTasks)
 	short := fmt.Sprintf(`{"spec":%q,"steps":[{"count":%d,"cpu":500,"mem_mb":100,"estimated_ms":200}]}`, payload, benchTasks)
-	for i := range benchLasting {
+	for i := range benchLongRunning {
 		post(front, fmt.Sprintf("f%015x", i), longRunning)
 	}
 	for i := 0; ; i++ {
@@ -144,7 +144,7 @@
 		b.Fatal(err)
 	}
 	calls := set.GetOrCreateCounter("leverstile_worker_calls_total")
-	for calls.Get() < benchLasting*benchLastingTasks {
+	for calls.Get() < benchLongRunning*benchLongRunningTasks {
 		time.Sleep(benchTick)
 	}
 	time.Sleep(benchSettle)
--- a/node/pacer.go
+++ b/node/pacer.go
@@ -9,13 +9,13 @@
 // Limits and intervals of pacer.
 const (
 	// batchInterval is the time between two batches.
-	pacedPause = 5 * time.Millisecond
+	batchInterval = 5 * time.Millisecond
 	// maxLateness is how late a pause may end in a process that keeps up.
-	pacedLate = 30 * time.Millisecond
+	maxLateness = 30 * time.Millisecond
 	// minBatch and maxBatch bound a batch; batchGrowth is added after a pause that ended
 	// on time. minBatch starts even beside other load that makes the process late.
-	leastBatch  = 16
-	mostBatch   = 256
+	minBatch    = 16
+	maxBatch    = 256
 	batchGrowth = 4
 )
 
@@ -36,7 +36,7 @@
 }
 
 func newPacer(clock func() time.Duration, yield func()) *pacer {
-	return &pacer{clock: clock, yield: yield, batch: leastBatch}
+	return &pacer{clock: clock, yield: yield, batch: minBatch}
 }
 
 // join queues the caller; the channel is closed once it is the caller's turn.
@@ -56,11 +56,11 @@
 func (p *pacer) run() {
 	for p.begin() {
 		began := p.clock()
-		time.Sleep(pacedPause)
+		time.Sleep(batchInterval)
 		// A goroutine that a timer wakes runs before all others that are ready: without
 		// yield, a process whose run queue grows still sees its timers on time.
 		p.yield()
-		p.adapt(p.clock() - began - pacedPause)
+		p.adapt(p.clock() - began - batchInterval)
 	}
 }
 
@@ -86,10 +86,10 @@
 
 // nextBatch returns the size of the next batch: additive increase, multiplicative decrease.
 func nextBatch(batch int, late time.Duration) int {
-	if late > pacedLate {
-		return max(batch/2, leastBatch)
+	if late > maxLateness {
+		return max(batch/2, minBatch)
 	}
-	return min(batch+batchGrowth, mostBatch)
+	return min(batch+batchGrowth, maxBatch)
 }
 
 // awaitTurn waits for a turn of the pacer. It reports false if ctx ended before.
--- a/node/record.go
+++ b/node/record.go
@@ -13,47 +13,47 @@
 // Limits and intervals of the writes of progress.
 const (
 	// flushInterval is the pause after a write, which collects changes of progress for the next.
-	flushPause = 40 * time.Millisecond
+	flushInterval = 40 * time.Millisecond
 	// flushIntervalBehind is the same while more jobs wait than one write takes:
 	// at most 70 writes a second, of 400 that the store takes.
-	flushPauseBehind = 10 * time.Millisecond
+	flushIntervalBehind = 10 * time.Millisecond
 	// maxFlushRecords is the most records and parts of the roster in one write: the store
 	// takes 32 entries, of which two are conditions and six other keys.
-	flushRecords = 24
+	maxFlushRecords = 24
 	// maxFlushRosterParts is the most parts of the roster in one write, 5 KB each.
-	flushRosterParts = 8
+	maxFlushRosterParts = 8
 	// idleFlushInterval is the pause after which a flush is tried without updates: for
 	// what was learnt, and for the last records to be removed.
-	idleFlush = 3 * time.Second
+	idleFlushInterval = 3 * time.Second
 	// flushTimeout bounds one write; a slow store takes 400 ms.
 	flushTimeout = 700 * time.Millisecond
 )
 
 // flushLoop writes progress and the roster.
 func (o *owner) flushLoop() {
-	wait := backoff{least: 2 * flushPause, most: time.Second}
+	wait := backoff{minDelay: 2 * flushInterval, maxDelay: time.Second}
 	for {
 		select {
 		case <-o.ctx.Done():
 			return
 		case <-o.flushNow:
-		case <-time.After(idleFlush):
+		case <-time.After(idleFlushInterval):
 		}
 		written := o.flush(o.ctx)
 		again := o.unwritten()
 		o.mu.Lock()
-		behind := o.core.Backlog() >= flushRecords
+		behind := o.core.Backlog() >= maxFlushRecords
 		o.mu.Unlock()
 		switch {
 		case !written:
 			sleep(o.ctx, wait.next())
 		case behind:
 			wait.reset()
-			sleep(o.ctx, flushPauseBehind)
+			sleep(o.ctx, flushIntervalBehind)
 		default:
 			wait.reset()
 			o.removeBatch()
-			sleep(o.ctx, flushPause)
+			sleep(o.ctx, flushInterval)
 		}
 		if again {
 			signal(o.flushNow)
@@ -70,10 +70,10 @@
 		o.mu.Unlock()
 		return false
 	}
-	roster, err := o.core.Roster(flushRosterParts)
+	roster, err := o.core.Roster(maxFlushRosterParts)
 	var records []dispatch.Record
 	if err == nil {
-		records, err = o.core.Records(flushRecords - len(roster))
+		records, err = o.core.Records(maxFlushRecords - len(roster))
 	}
 	var learnt []byte
 	if now := o.now(); err == nil && o.core.LearntDue(now) {
@@ -154,7 +154,7 @@
 	wctx, cancel := context.WithTimeout(ctx, flushTimeout)
 	defer cancel()
 	res, twice, err := o.do(wctx, txn)
-	o.unsure = err != nil && !errors.Is(err, kv.ErrNotDone) || twice && !res.Succeeded
+	o.lastWriteUnknown = err != nil && !errors.Is(err, kv.ErrNotDone) || twice && !res.Succeeded
 	if err != nil {
 		if ctx.Err() == nil {
 			o.node.log.Warn().Str("event", "flush_failed").Int("operations", len(ops)).Err(err).Msg("")
--- a/node/removal.go
+++ b/node/removal.go
@@ -12,25 +12,25 @@
 const (
 	// maxRemovedJobs is the most finished jobs whose three records are removed in
 	// one write.
-	removeJobs = 8
+	maxRemovedJobs = 8
 	// maxRetriedRemovals is the same where each is removed under a condition of its own,
 	// of 32 entries that the store takes in total.
-	removeAgainJobs = 6
+	maxRetriedRemovals = 6
 )
 
 // unansweredRemoval is a removal that may have been carried out: its answer was lost.
-type unsureRemoval struct {
+type unansweredRemoval struct {
 	// before is a revision of the store before it, remaining the number of the core's
 	// expired jobs that it may have removed and that are still to be checked.
-	before int64
-	left   int
+	before    int64
+	remaining int
 }
 
 // removeBatch removes records of old jobs once there are as many as one write takes:
 // while jobs arrive, no flush is without updates.
 func (o *owner) removeBatch() {
 	o.mu.Lock()
-	full := len(o.core.Expired(removeJobs)) == removeJobs
+	full := len(o.core.Expired(maxRemovedJobs)) == maxRemovedJobs
 	o.mu.Unlock()
 	if !full {
 		return
@@ -43,10 +43,10 @@
 // removeExpired removes the records of jobs that ended long ago. It reports false if a
 // write or read failed.
 func (o *owner) removeExpired(ctx context.Context) bool {
-	if o.removal.left > 0 {
-		return o.removeAgain(ctx)
+	if o.removal.remaining > 0 {
+		return o.retryRemoval(ctx)
 	}
-	ids := o.expired(removeJobs)
+	ids := o.expired(maxRemovedJobs)
 	if len(ids) == 0 {
 		return o.removeCancels(ctx)
 	}
@@ -56,19 +56,19 @@
 	}
 	before := o.own.chainRev
 	if !o.write(ctx, ops) {
-		if o.unsure {
-			o.removal = unsureRemoval{before, len(ids)}
+		if o.lastWriteUnknown {
+			o.removal = unansweredRemoval{before, len(ids)}
 		}
 		return false
 	}
-	o.removed(len(ids), o.own.chainRev)
+	o.recordRemoval(len(ids), o.own.chainRev)
 	return true
 }
 
 // retryRemoval repeats a removal that may have been carried out. Jobs may have been
 // submitted since under the same ids: their records are newer, and stay.
-func (o *owner) removeAgain(ctx context.Context) bool {
-	ids := o.expired(min(o.removal.left, removeAgainJobs))
+func (o *owner) retryRemoval(ctx context.Context) bool {
+	ids := o.expired(min(o.removal.remaining, maxRetriedRemovals))
 	var ops []kv.Op
 	var unchanged []kv.Compare
 	for _, id := range ids {
@@ -84,8 +84,8 @@
 	if len(ops) > 0 && !o.write(ctx, ops, unchanged...) {
 		return false
 	}
-	o.removed(len(ids), o.removal.before)
-	o.removal.left -= len(ids)
+	o.recordRemoval(len(ids), o.removal.before)
+	o.removal.remaining -= len(ids)
 	return true
 }
 
@@ -93,7 +93,7 @@
 // condition that they still have not been.
 func (o *owner) removeCancels(ctx context.Context) bool {
 	o.mu.Lock()
-	ids := o.core.OldCancels(removeJobs, o.now())
+	ids := o.core.OldCancels(maxRemovedJobs, o.now())
 	o.mu.Unlock()
 	if len(ids) == 0 {
 		return true
@@ -124,6 +124,6 @@
 
 // removed reports to the core that the records of its first n expired jobs are gone, from
 // a revision of the store on.
-func (o *owner) removed(n int, revision int64) {
+func (o *owner) recordRemoval(n int, revision int64) {
 	o.locked(func(c *dispatch.Core, _ dispatch.Instant) { c.RecordsRemoved(n, revision) })
 }
--- a/node/removal_test.go
+++ b/node/removal_test.go
@@ -41,7 +41,7 @@
 //
 // The test guards against a retry that removes the new job's record: its customer was told
 // that it is accepted, and it would never be shown as done.
-func TestRemovalThatIsMadeAgainKeepsNewJobs(t *testing.T) {
+func TestRetriedRemovalKeepsNewJobs(t *testing.T) {
 	c := newCell(t, 0, 1)
 	c.jobKept = 0
 	store := &lostRemoval{}
@@ -64,14 +64,14 @@
 
 // lateSubmissions is a store that does not answer writes of one job's record; the first of
 // them is carried out when the test does so.
-type lateHandIns struct {
+type lateSubmissions struct {
 	node.Store
 	key  string
 	held chan kv.Txn
 }
 
 // Do implements kv.Store.
-func (s *lateHandIns) Do(ctx context.Context, txn kv.Txn) (kv.TxnResult, error) {
+func (s *lateSubmissions) Do(ctx context.Context, txn kv.Txn) (kv.TxnResult, error) {
 	for _, op := range txn.Then {
 		if op.Key == s.key {
 			select {
@@ -95,7 +95,7 @@
 			var plain node.Store
 			c.wrap = func(_ string, s node.Store) node.Store {
 				plain = s
-				return &lateHandIns{Store: s, key: "ls/in/job/" + id(1), held: held}
+				return &lateSubmissions{Store: s, key: "ls/in/job/" + id(1), held: held}
 			}
 			c.nodes = append(c.nodes, c.startNode("entry-0"), c.startNode("entry-1"))
 			c.submit(0, id(9), twoSteps)
--- a/node/repeated_start_test.go
+++ b/node/repeated_start_test.go
@@ -17,7 +17,7 @@
 // starts it on another worker; with nothing else of its own on the first worker, it does not
 // poll that one again, never stops the first run, and acknowledges its end. A refusal proves
 // that the copy that it answers did nothing, but nothing about an earlier copy.
-func TestRefusedCopyOfAStartProvesNothing(t *testing.T) {
+func TestRefusedRetryOfAStartProvesNothing(t *testing.T) {
 	c := newCell(t, 0, 0)
 	var starts atomic.Int32
 	breakFirst := func(path string) wiretest.WorkerFault {
@@ -35,7 +35,7 @@
 	}
 	for _, name := range []string{"i-a", "i-b"} {
 		w := wiretest.NewWorker(c.store, name, "svc", 2*time.Second)
-		w.OnRun(c.note)
+		w.OnRun(c.recordRun)
 		w.SetFault(breakFirst)
 		c.workers = append(c.workers, w)
 	}
--- a/node/restart_test.go
+++ b/node/restart_test.go
@@ -12,7 +12,7 @@
 func (c *cell) startSameID(name string, o wiretest.WorkerOptions) *wiretest.Worker {
 	o.ID, o.Service, o.SameID, o.Progress = name, "svc", true, true
 	w := wiretest.StartWorker(c.store, o)
-	w.OnRun(c.note)
+	w.OnRun(c.recordRun)
 	c.workers = append(c.workers, w)
 	return w
 }
@@ -51,7 +51,7 @@
 // old one: they count as overtaken by newer answers, and the tasks count as running for good.
 // With a clock that starts ahead of the old one, the tasks start again at once. No log line
 // reports the end of the old incarnation.
-func TestLastingTaskAfterARestartUnderTheSameID(t *testing.T) {
+func TestLongRunningTaskAfterARestartUnderTheSameID(t *testing.T) {
 	clocks := []int64{400_000, 3}
 	c := newCell(t, 1, 0)
 	w := c.startSameID("i-a", wiretest.WorkerOptions{
--- a/node/roster.go
+++ b/node/roster.go
@@ -12,7 +12,7 @@
 )
 
 // maxRosterParts bounds the numbers of parts that are read, so that other keys are ignored.
-const mostRosterParts = 10_000
+const maxRosterParts = 10_000
 
 func rosterPartKey(number int) string { return fmt.Sprintf("%s%05d", rosterPrefix, number) }
 
@@ -30,7 +30,7 @@
 			}
 			continue
 		}
-		number, ok := rosterPartOf(p.Key)
+		number, ok := rosterPartNumber(p.Key)
 		if !ok {
 			continue
 		}
@@ -50,11 +50,11 @@
 }
 
 // rosterPartNumber returns the number of the part that a key holds.
-func rosterPartOf(key string) (number int, ok bool) {
+func rosterPartNumber(key string) (number int, ok bool) {
 	name, ok := strings.CutPrefix(key, rosterPrefix)
 	if !ok {
 		return 0, false
 	}
 	number, err := strconv.Atoi(name)
-	return number, err == nil && number >= 0 && number < mostRosterParts && rosterPartKey(number) == key
+	return number, err == nil && number >= 0 && number < maxRosterParts && rosterPartKey(number) == key
 }
--- a/node/rosterread_test.go
+++ b/node/rosterread_test.go
@@ -15,7 +15,7 @@
 // TestReadRoster: a roster in parts names the workers to wait for. One in a single value, or
 // with a part that can't be read, means that any worker may have to be waited for, beside
 // those that can be read. Other keys are ignored.
-func TestRostersThatAreRead(t *testing.T) {
+func TestReadRoster(t *testing.T) {
 	part := func(key, ids string) kv.Pair { return kv.Pair{Key: key, Value: []byte(ids)} }
 	first, second := part("ls/own/roster/00000", `[{"id":"w1"},{"id":"w2"}]`), part("ls/own/roster/00007", `[{"id":"w3"}]`)
 	marker := part("ls/own/roster", "parts")
--- a/node/mute_test.go
+++ b/node/silent_connections_test.go
@@ -15,7 +15,7 @@
 )
 
 // polledAfterStart is longer than it takes until a worker was polled after a start.
-const leaseRead = 2500 * time.Millisecond
+const polledAfterStart = 2500 * time.Millisecond
 
 // TestConnectionsThatFallSilentForGood: all connections between entries, to the store and to
 // workers fall silent without a reset, several times, and new ones work. Jobs that are submitted
@@ -53,14 +53,14 @@
 	}
 	submit(0)
 	for round := range 3 {
-		time.Sleep(leaseRead) // a run's lease is short until the worker was polled after its start
+		time.Sleep(polledAfterStart) // a run's lease is short until the worker was polled after its start
 		for _, m := range muters {
 			m.Blackhole()
 		}
 		submit(round % 2)
 		submit((round + 1) % 2)
 	}
-	time.Sleep(leaseRead)
+	time.Sleep(polledAfterStart)
 	for _, m := range muters {
 		m.Blackhole()
 	}
--- a/node/slots_test.go
+++ b/node/slots_test.go
@@ -14,21 +14,21 @@
 func TestOrdersWaitForASlotForABoundedTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := &owner{node: &Node{steady: steadyClock()}, ctx: context.Background(), slots: make(chan struct{}, 1)}
-		if !o.awaitSlot() || o.waited.Load() != 0 {
+		if !o.awaitSlot() || o.longestWait.Load() != 0 {
 			t.Fatal("waits though a slot is free")
 		}
 		if o.awaitSlot() {
 			t.Fatal("two orders in one slot")
 		}
-		if got := time.Duration(o.waited.Swap(0)); got != slotWait {
-			t.Errorf("waited %v, want %v", got, slotWait)
+		if got := time.Duration(o.longestWait.Swap(0)); got != slotTimeout {
+			t.Errorf("waited %v, want %v", got, slotTimeout)
 		}
-		time.AfterFunc(slotWait/2, func() { <-o.slots })
+		time.AfterFunc(slotTimeout/2, func() { <-o.slots })
 		if !o.awaitSlot() {
 			t.Error("the slot that became free is not used")
 		}
-		if got := time.Duration(o.waited.Load()); got != slotWait/2 {
-			t.Errorf("waited %v, want %v", got, slotWait/2)
+		if got := time.Duration(o.longestWait.Load()); got != slotTimeout/2 {
+			t.Errorf("waited %v, want %v", got, slotTimeout/2)
 		}
 	})
 }
@@ -39,8 +39,8 @@
 	for _, x := range []struct {
 		link float64
 		want int
-	}{{0, mostOrders}, {25e6, mostOrders}, {1.25e6, 46}, {250e3, 9}, {1000, leastOrders}} {
-		if got := ordersFor(x.link); got != x.want {
+	}{{0, maxOrders}, {25e6, maxOrders}, {1.25e6, 46}, {250e3, 9}, {1000, minOrders}} {
+		if got := orderLimit(x.link); got != x.want {
 			t.Errorf("%.0f bytes a second: %d orders under way, want %d", x.link, got, x.want)
 		}
 	}
@@ -75,7 +75,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
 		o := &owner{node: &Node{steady: steadyClock(), opts: Options{FreezeSlack: 300 * time.Millisecond}, log: &log.Logger{Level: log.PanicLevel}}, ctx: ctx}
-		o.running.Go(o.aliveLoop)
+		o.running.Go(o.freezeLoop)
 		time.Sleep(time.Second) // the state is read
 		if !o.mayAct(ctx) || o.suspended {
 			t.Error("counts as suspended after a long read of its state")
@@ -83,7 +83,7 @@
 		stop()
 		o.running.Wait()
 		time.Sleep(time.Second) // nothing runs
-		o.noticeFreeze()
+		o.detectFreeze()
 		if !o.suspended {
 			t.Error("a pause of a second is not noticed")
 		}
--- a/node/storerelay.go
+++ b/node/storerelay.go
@@ -151,7 +151,7 @@
 func (o *owner) renewLease() error {
 	_, _, err := storeCall[struct{}]{
 		direct: func(ctx context.Context) (struct{}, error) {
-			ctx, cancel := context.WithTimeout(ctx, renewTry)
+			ctx, cancel := context.WithTimeout(ctx, renewTimeout)
 			defer cancel()
 			return struct{}{}, o.node.store.KeepAlive(ctx, o.own.lease)
 		},
--- a/node/storerelay_test.go
+++ b/node/storerelay_test.go
@@ -178,15 +178,15 @@
 		c := newRelayCell(t)
 		c.store.silent.Store(true)
 		ops := []kv.Op{kv.Put("k", []byte("1"), 0)}
-		if !c.owner.write(t.Context(), ops) || c.owner.unsure {
+		if !c.owner.write(t.Context(), ops) || c.owner.lastWriteUnknown {
 			t.Fatal("not written")
 		}
 		c.store.late.Store(true)
-		if c.owner.write(t.Context(), ops) || !c.owner.unsure {
+		if c.owner.write(t.Context(), ops) || !c.owner.lastWriteUnknown {
 			t.Error("a write that the store carried out without an answer counts as known")
 		}
 		c.store.late.Store(false)
-		if !c.owner.write(t.Context(), ops) || c.owner.unsure {
+		if !c.owner.write(t.Context(), ops) || c.owner.lastWriteUnknown {
 			t.Error("the next write is not made")
 		}
 		c.stop()
--- a/node/suspended_test.go
+++ b/node/suspended_test.go
@@ -22,10 +22,10 @@
 
 // suspendedVM is a VM whose clocks a test advances: the monotonic one stands still while the
 // VM is suspended.
-type suspendedVM struct{ mono, asleep time.Duration }
+type suspendedVM struct{ mono, suspended time.Duration }
 
 func (v *suspendedVM) clock() *clock.Clock {
-	all := func() time.Duration { return v.mono + v.asleep }
+	all := func() time.Duration { return v.mono + v.suspended }
 	return clock.NewWithSources(clock.Sources{
 		Monotonic: func() time.Duration { return v.mono },
 		Boot:      func() (time.Duration, bool) { return all(), true },
@@ -42,20 +42,20 @@
 	n.opts.FreezeSlack = 300 * time.Millisecond
 	params := dispatch.Params{OwnerTTL: ownerTTL, OwnerHorizon: ownerHorizon, MaxTaskLease: 6 * time.Second}
 	o := &owner{node: n, own: &ownership{}, core: dispatch.New(params, 1, nil), lastAlive: n.clock()}
-	o.renewed(n.clock())
-	o.noticeFreeze()
+	o.recordRenewal(n.clock())
+	o.detectFreeze()
 	if o.suspended {
 		t.Fatal("suspended before the VM was")
 	}
-	vm.asleep = ownerTTL + time.Second
-	o.noticeFreeze()
+	vm.suspended = ownerTTL + time.Second
+	o.detectFreeze()
 	if !o.suspended {
 		t.Error("the owner continues as if no time had passed")
 	}
 	if now := o.now().Steady; now-o.own.renewed < ownerTTL {
 		t.Errorf("its lease counts as %v old, want %v or more", now-o.own.renewed, ownerTTL)
 	}
-	o.renewed(n.clock())
+	o.recordRenewal(n.clock())
 	if o.suspended {
 		t.Error("still suspended after its lease was renewed")
 	}
@@ -69,9 +69,9 @@
 	vm := &suspendedVM{mono: time.Minute}
 	steady := vm.clock()
 	var w wallClock
-	wall := func() int64 { return began + (vm.mono + vm.asleep).Milliseconds() }
+	wall := func() int64 { return began + (vm.mono + vm.suspended).Milliseconds() }
 	w.read(steady.Now(), wall())
-	vm.asleep = 7 * time.Second
+	vm.suspended = 7 * time.Second
 	vm.mono += 10 * time.Millisecond
 	if ms, _ := w.read(steady.Now(), wall()); ms != wall() {
 		t.Errorf("off by %d ms after a suspension", ms-wall())
--- a/node/wallclock.go
+++ b/node/wallclock.go
@@ -9,10 +9,10 @@
 const (
 	// minJump is the least difference that counts as a jump; less is a slow correction
 	// of a synchronized clock.
-	jumpLeast = 300 * time.Millisecond
+	minJump = 300 * time.Millisecond
 	// jumpConfirmation is how long a jump must last before it is adopted. Clocks that jump
 	// by mistake come back within seconds; one that an operator has set does not.
-	jumpHold = 30 * time.Second
+	jumpConfirmation = 30 * time.Second
 )
 
 // wallClock reads the time of day and delays the adoption of its jumps: timed jobs would
@@ -39,11 +39,11 @@
 	offset := wallMS - steady.Milliseconds()
 	off := time.Duration(offset-w.offset) * time.Millisecond
 	switch {
-	case !w.known, off.Abs() < jumpLeast:
+	case !w.known, off.Abs() < minJump:
 		w.offset, w.known, w.jumped = offset, true, false
 	case !w.jumped:
 		w.jumped, w.jumpedAt = true, steady
-	case steady-w.jumpedAt >= jumpHold:
+	case steady-w.jumpedAt >= jumpConfirmation:
 		w.offset, w.jumped = offset, false
 		adopted = off
 	}
--- a/node/wallclock_test.go
+++ b/node/wallclock_test.go
@@ -8,7 +8,7 @@
 )
 
 // A clock that jumps and comes back is not followed; one that drifts or was set for good is.
-func TestWallClockHoldsOffJumps(t *testing.T) {
+func TestWallClockDelaysJumps(t *testing.T) {
 	const start = 1_700_000_000_000
 	for _, x := range []struct {
 		name string
@@ -50,7 +50,7 @@
 
 // TestDecisionsUseWallClock: the core gets the time of day that wallClock has adopted, not
 // the current reading of the operating system.
-func TestDecisionsHoldOffJumps(t *testing.T) {
+func TestDecisionsUseWallClock(t *testing.T) {
 	n := &Node{steady: steadyClock(), log: &log.Logger{Writer: log.IOWriter{Writer: t.Output()}}}
 	const jump = time.Hour
 	n.wall.read(n.clock(), time.Now().Add(jump).UnixMilli())
