--- a/entry/cells.go
+++ b/entry/cells.go
@@ -16,10 +16,11 @@
 	"leverstile.dev/scheduler"
 )
 
-// shardTick is how often a shard's owner looks at the time.
+// shardTick is the interval of the ticks of a shard's owner.
 const shardTick = 10 * time.Millisecond
 
-// cellRunner drives one cell at this entry.
+// cellRunner runs the owner of one cell in this entry: it carries out the
+// owner's commands and passes on the answers.
 type cellRunner struct {
 	entry  *Entry
 	name   string
@@ -28,7 +29,7 @@
 	status status
 	ctx    context.Context
 
-	// Below: only used by the loop.
+	// The fields below are only used by the loop.
 	tickets uint64
 	calls   map[uint64]chan cell.Reply
 	rev     *revision
@@ -53,7 +54,8 @@
 	return c
 }
 
-// update tells the owner what has changed around it.
+// update passes changes to the owner: the preferred owner, the declarations,
+// the VMs and the usage of other cells.
 func (c *cellRunner) update(ctx context.Context, wanted bool, rev *revision, vms []fleet.VM, elsewhere map[string]fleet.Resources) {
 	c.loop.post(ctx, func() {
 		now := c.entry.clock()
@@ -86,7 +88,8 @@
 	return v.vmsAt != 0
 }
 
-// capacityElsewhere is the capacity of all VMs with workers but these.
+// capacityElsewhere returns the capacity of all VMs with workers except those
+// in here.
 func (e *Entry) capacityElsewhere(here []fleet.VM) fleet.Resources {
 	var sum fleet.Resources
 	for _, vm := range e.view.listVMs() {
@@ -100,7 +103,7 @@
 	return sum
 }
 
-// summarize refreshes what peers are told of the groups' use.
+// summarize refreshes the groups' usage that peers are sent.
 func (c *cellRunner) summarize() {
 	var out []*peerv1.GroupUsage
 	c.sequence++
@@ -174,7 +177,7 @@
 	c.entry.set.GetOrCreateCounter(`leverstile_placement_decisions_total{decision="` + d.What + `"}`).Inc()
 }
 
-// call runs fn in the loop with a ticket and waits for its reply.
+// call runs fn in the loop with a new ticket and waits for the reply to it.
 func (c *cellRunner) call(ctx context.Context, fn func(now time.Duration, ticket uint64)) cell.Reply {
 	ch := make(chan cell.Reply, 1)
 	c.loop.post(ctx, func() {
@@ -190,7 +193,8 @@
 	}
 }
 
-// Calls on a cell: at its owner, here or at a peer.
+// The following methods are calls on a cell, made by this entry or by a peer,
+// and answered if this entry is its owner.
 
 func (c *cellRunner) submit(ctx context.Context, tasks []*journalv1.TaskSpec) cell.Reply {
 	return c.call(ctx, func(now time.Duration, ticket uint64) { c.owner.Submit(now, ticket, tasks) })
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -14,7 +14,8 @@
 	"leverstile.dev/membership"
 )
 
-// claimRunner drives one claim shard at this entry.
+// claimRunner runs the owner of one claim shard in this entry. A claim reserves
+// an idempotency key for one request, so that its repeats aren't run again.
 type claimRunner struct {
 	entry   *Entry
 	name    string
@@ -94,12 +95,12 @@
 	})
 }
 
-// claimTimeout is how long a claim may take; after that the caller is told
-// that its request was not run.
+// claimTimeout bounds the time for a claim; after that the answer to the caller
+// is that its request was not run.
 const claimTimeout = 3 * time.Second
 
-// claimFor asks the owner of a key's shard for the claim. Only a reply with
-// result.OK allows the request to be sent; without one nothing was run.
+// claimFor asks the owner of a key's shard for the claim. The request may only
+// be sent after a reply with result.OK; without one it was not run.
 func (e *Entry) claimFor(ctx context.Context, service string, r claim.Request) claim.Reply {
 	if e.mismatch.Load() {
 		return claim.Reply{Code: result.OwnerUnavailable, RetryAfter: claimTimeout}
@@ -120,7 +121,7 @@
 	return claim.Reply{Code: result.OwnerUnavailable, RetryAfter: time.Second}
 }
 
-// ownerRetry is the wait before a call is tried again at a shard's owner.
+// ownerRetry is the delay before a call to a shard's owner is retried.
 const ownerRetry = 50 * time.Millisecond
 
 func (e *Entry) claimOnce(ctx context.Context, n int, r claim.Request) claim.Reply {
@@ -145,8 +146,8 @@
 	}
 }
 
-// ownerAddress returns where a shard's owner takes calls, or "" if no other
-// entry is known to own it.
+// ownerAddress returns the address at which a shard's owner takes calls, or ""
+// if no other entry is known to own the shard.
 func (e *Entry) ownerAddress(shardName string) string {
 	id := e.view.owner(shardName, e.clock())
 	if id == "" || id == e.settings.ID {
@@ -158,9 +159,9 @@
 // completeTimeout bounds the recording of an outcome.
 const completeTimeout = 30 * time.Second
 
-// completeClaim records how a claimed request ended. It goes on in the
-// background if the owner can't be reached at once; if that fails too, the
-// claim's outcome becomes unknown by its own timeout.
+// completeClaim records how a claimed request ended. It retries until
+// completeTimeout if the owner can't be reached; if that fails too, the claim's
+// outcome becomes unknown by the claim's own timeout.
 func (e *Entry) completeClaim(service, key, requestID string, phase journalv1.ClaimPhase, out *journalv1.ClaimOutcome) {
 	ctx, cancel := context.WithTimeout(context.Background(), completeTimeout)
 	defer cancel()
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,12 +1,13 @@
 // Package entry is the entry process: it takes requests of callers and
 // operators, routes them to endpoints, owns cells and claim shards, and
-// exchanges with its peers. The decisions are in the packages router, cell,
-// claim, scheduler, membership and config; this package is the shell.
+// exchanges its view of the fleet with its peers. The packages router, cell,
+// claim, scheduler, membership and config make the decisions; this package
+// does the input and output for them.
 //
-// Lock order: declared.forcing, then a service's lock, then the view's, then that
-// of the declarations or of the lease. No lock is held while a peer, the store, a
-// worker or an endpoint is called. Cells and claim shards have no lock: each
-// is driven by one loop.
+// Lock order: declared.activateMu, then a service's lock, then the view's, then
+// that of the declarations or of the lease. No lock is held while a peer, the
+// store, a worker or an endpoint is called. Cells and claim shards have no
+// lock: one loop drives each of them.
 package entry
 
 import (
@@ -46,8 +47,8 @@
 	shards   *shards
 
 	draining atomic.Bool
-	mismatch atomic.Bool // see fleetMismatch
-	// recording are outcomes of claimed requests that are not recorded yet.
+	mismatch atomic.Bool // set by handleFleetMismatch
+	// recording counts outcomes of claimed requests that are not recorded yet.
 	recording sync.WaitGroup
 	replanCh  chan struct{}
 	callers   *http.Server
@@ -56,7 +57,7 @@
 	peersLn   net.Listener
 }
 
-// Listen opens the listeners of an entry; port 0 takes any free one.
+// Listen opens the listeners of an entry; port 0 takes any free port.
 func Listen(callers, peers string) (net.Listener, net.Listener, error) {
 	c, err := net.Listen("tcp", callers)
 	if err != nil {
@@ -70,10 +71,10 @@
 	return c, p, nil
 }
 
-// AnyPort is an address for Listen on loopback.
+// AnyPort is an address for Listen: any free port on the loopback interface.
 const AnyPort = "127.0.0.1:0"
 
-// New prepares an entry process. The listeners are taken over.
+// New prepares an entry process. The entry closes the listeners when it ends.
 func New(s *config.Settings, logger *log.Logger, set *metrics.Set, callers, peers net.Listener) *Entry {
 	e := &Entry{
 		settings: s, log: logger, set: set, clock: newClock(), view: newView(),
@@ -109,9 +110,9 @@
 	return e
 }
 
-// Run serves until stop is closed, and then drains: readiness off, wait for
-// the balancer, finish what is in flight, hand over what is owned. Closing
-// abort ends at once.
+// Run serves until stop is closed and then drains: it turns readiness off,
+// waits for the balancer, finishes requests in flight and hands over what it
+// owns. Closing abort ends the process at once.
 func (e *Entry) Run(stop, abort <-chan struct{}) error {
 	var g run.Group
 	e.addActor(&g, e.lease.run)
@@ -176,8 +177,8 @@
 	return nil
 }
 
-// drain is a planned stop. New requests are still served while the balancer
-// finds out, for it may send some until then.
+// drain carries out a planned stop. New requests are still served during the
+// drain delay, as the balancer may send some until it has seen readiness off.
 func (e *Entry) drain(ctx context.Context) {
 	e.log.Info().Msg("draining")
 	e.draining.Store(true)
@@ -212,10 +213,10 @@
 	}
 }
 
-// closeWhileDraining has each connection closed after its next answer, so that
+// closeWhileDraining closes each connection after its next answer, so that
 // the balancer opens new ones elsewhere. Idle connections stay open until the
-// drain delay is over: a request may be under way on them at any moment, which
-// is why http.Server.SetKeepAlivesEnabled, which closes them at once, won't do.
+// drain delay is over, as a request may be under way on them at any time.
+// http.Server.SetKeepAlivesEnabled isn't used because it closes them at once.
 func (e *Entry) closeWhileDraining(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if e.draining.Load() {
@@ -225,7 +226,7 @@
 	})
 }
 
-// fleetMismatch tells that this entry can't own cells or claims.
+// handleFleetMismatch records and logs that this entry can't own cells or claims.
 func (e *Entry) fleetMismatch(stored fleetParams) {
 	e.mismatch.Store(true)
 	own := e.lease.fleet
@@ -236,7 +237,7 @@
 		Msg("settings differ from the fleet's; this entry routes but owns nothing and claims nothing")
 }
 
-// replan has the assignment of shards looked at again.
+// replan triggers a new assignment of shards.
 func (e *Entry) replan() {
 	select {
 	case e.replanCh <- struct{}{}:
@@ -244,14 +245,14 @@
 	}
 }
 
-// onForce is called with each new revision in force.
+// onActivate is called with each revision that comes into force.
 func (e *Entry) onForce(r *revision) {
 	e.log.Info().Uint64("revision", r.number).Msg("declarations in force")
 	e.services.setDeclared(r)
 	e.replan()
 }
 
-// pollVMs reads the platform's list of VMs.
+// pollVMs reads the platform's list of VMs at a fixed interval.
 func (e *Entry) pollVMs(ctx context.Context) {
 	for {
 		vms, err := e.fleet.VMs(ctx)
@@ -260,7 +261,7 @@
 			e.services.refresh()
 			e.replan()
 		} else if ctx.Err() == nil {
-			e.log.Warn().Err(err).Msg("VM list")
+			e.log.Warn().Err(err).Msg("reading the VM list failed")
 		}
 		select {
 		case <-ctx.Done():
--- a/entry/lease.go
+++ b/entry/lease.go
@@ -16,28 +16,29 @@
 // entryPrefix is the prefix of the entries' keys.
 const entryPrefix = shard.WatchPrefix + "entry/"
 
-// leaseMargin is taken off a lease's time by the entry's own clock.
+// leaseMargin is subtracted from a lease's duration by the entry's own clock.
 const leaseMargin = 500 * time.Millisecond
 
-// lease keeps this entry's store lease and its entry key. One lease serves all
-// that the entry owns, so that keeping it costs the store the same whatever
-// the number of shards.
+// lease keeps this entry's store lease and its entry key. One lease serves
+// everything that the entry owns, so that the store's cost of renewing it
+// doesn't depend on the number of shards.
 type lease struct {
 	store kv.Store
 	clock Clock
 	ttl   time.Duration
 
-	// fleet are the parameters that all entries must share; onMismatch is told
-	// of an entry's that differ from those in the store.
+	// fleet are the parameters that all entries must share; onMismatch is called
+	// with the stored ones if they differ from this entry's.
 	fleet      fleetParams
 	onMismatch func(stored fleetParams)
 
 	mu    sync.Mutex
 	self  membership.Entry
 	id    int64
-	until time.Duration // clock reading up to which the lease surely holds
+	until time.Duration // clock reading up to which the lease is held for certain
 	dirty bool          // the entry key has to be written
-	// agreed: the fleet's parameters are this entry's. Until then it owns nothing.
+	// agreed is set when the fleet's parameters equal this entry's. Until then
+	// the entry owns nothing.
 	agreed bool
 }
 
@@ -45,22 +46,22 @@
 // writes them; an operator may delete the key while none is running.
 const fleetKey = "/leverstile/fleet"
 
-// fleetParams must be the same on all entries: a new owner waits for what a
-// former one may have granted, and a key must fall into one claim shard.
+// fleetParams must be the same on all entries: a new owner waits for the end of
+// what a former one may have granted, and a key must fall into one claim shard.
 type fleetParams struct {
 	ClaimShards   int `json:"claim_shards"`
 	TaskLeaseMS   int `json:"task_lease_ms"`
 	OutageGraceMS int `json:"outage_grace_ms"`
 }
 
-// current returns the lease and until when it surely holds.
+// current returns the lease and the time until which it is held for certain.
 func (l *lease) current() (int64, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.id, l.until
 }
 
-// forShards returns the lease under which shards may be owned: none while this
+// forShards returns the lease under which shards may be owned, or none while this
 // entry's parameters differ from the fleet's.
 func (l *lease) forShards() (int64, time.Duration) {
 	l.mu.Lock()
@@ -71,7 +72,7 @@
 	return l.id, l.until
 }
 
-// holds reports whether the lease surely holds now.
+// isHeld reports whether the lease is held for certain now.
 func (l *lease) holds() bool {
 	id, until := l.current()
 	return id != 0 && l.clock() < until
@@ -84,7 +85,7 @@
 	l.dirty = true
 }
 
-// run keeps the lease until ctx ends.
+// run renews the lease until ctx ends.
 func (l *lease) run(ctx context.Context) {
 	for {
 		wait := l.ttl / 4
@@ -115,8 +116,8 @@
 	if err != nil {
 		return err
 	}
-	// The lease was extended after the call was sent, so it holds at least
-	// this long.
+	// The store extended the lease after the call was sent, so it is held at
+	// least for its duration from then on.
 	l.set(id, sent+l.ttl-leaseMargin)
 	return l.register(ctx, id)
 }
@@ -130,7 +131,7 @@
 	l.id, l.until = id, until
 }
 
-// register writes the entry key under the lease where it has changed.
+// register writes the entry key under the lease if it has changed.
 func (l *lease) register(ctx context.Context, id int64) error {
 	l.mu.Lock()
 	dirty, self := l.dirty, l.self
@@ -148,7 +149,7 @@
 	return err
 }
 
-// write writes the entry key, and the fleet's parameters if there are none.
+// write writes the entry key, and the fleet's parameters if none are stored.
 func (l *lease) write(ctx context.Context, self membership.Entry, id int64) error {
 	value, err := json.Marshal(self)
 	if err != nil {
@@ -182,7 +183,7 @@
 	return nil
 }
 
-// revoke ends the lease at a planned stop, so that nobody waits for its end.
+// revoke ends the lease at a planned stop, so that no entry waits for its expiry.
 func (l *lease) revoke(ctx context.Context) {
 	if id, _ := l.current(); id != 0 {
 		_ = l.store.Revoke(ctx, id)
--- a/entry/loop.go
+++ b/entry/loop.go
@@ -7,18 +7,19 @@
 	"leverstile.dev/clock"
 )
 
-// Clock reads the process's steady clock, which counts suspensions of its VM.
+// Clock reads the process's steady clock, which also counts the time during
+// which its VM was suspended.
 type Clock func() time.Duration
 
-// newClock returns a clock that starts at an arbitrary reading.
+// newClock returns a clock that starts at an arbitrary reading other than zero.
 func newClock() Clock {
 	steady := clock.New()
 	return func() time.Duration { return steady.Now() + time.Hour }
 }
 
-// loop runs functions one after the other: the shell round a pure owner, which
-// thus needs no lock. After each function and each tick, flush carries out
-// what the owner wants done.
+// loop runs functions one after the other on one goroutine, so that the owner
+// of a shard, which they call, needs no lock. After each function and each
+// tick, flush carries out the owner's commands.
 type loop struct {
 	events chan func()
 	every  time.Duration
@@ -26,7 +27,7 @@
 	flush  func()
 }
 
-// loopQueue is how many events may wait.
+// loopQueue is the number of events that may wait.
 const loopQueue = 1024
 
 func newLoop(every time.Duration, tick, flush func()) *loop {
@@ -50,7 +51,7 @@
 	}
 }
 
-// post runs fn in the loop, later.
+// post queues fn to be run in the loop.
 func (l *loop) post(ctx context.Context, fn func()) {
 	select {
 	case l.events <- fn:
--- a/entry/shards.go
+++ b/entry/shards.go
@@ -14,7 +14,7 @@
 	"leverstile.dev/shard"
 )
 
-// Names of shards.
+// Prefixes of the names of shards.
 const (
 	cellShard  = "cell-"
 	claimShard = "claim-"
@@ -29,7 +29,7 @@
 	claims []*claimRunner
 	ctx    context.Context
 	wg     sync.WaitGroup
-	leave  atomic.Bool // give everything up
+	leave  atomic.Bool // set to give up all shards
 }
 
 func newShards(e *Entry) *shards {
@@ -42,7 +42,7 @@
 
 func claimName(i int) string { return fmt.Sprintf("%s%d", claimShard, i) }
 
-// shardParams are the parameters of a shard's core.
+// shardParams returns the parameters of a shard's core.
 func (e *Entry) shardParams(name string, commitEvery time.Duration) shard.Params {
 	return shard.Params{
 		Name: name, Self: e.settings.ID,
@@ -53,7 +53,7 @@
 	}
 }
 
-// assignEvery is how often the assignment is looked at without a change.
+// assignInterval is how often the assignment is checked without a change.
 const assignEvery = time.Second
 
 // run drives all shards until ctx ends.
@@ -77,8 +77,9 @@
 	s.wg.Wait()
 }
 
-// assign starts runners for newly declared cells, and tells each runner
-// whether this entry is the preferred owner, and what changed around it.
+// assign starts runners for newly declared cells and updates each runner:
+// whether this entry is the preferred owner, and the declarations, VMs and
+// usage of other cells.
 func (s *shards) assign(ctx context.Context) {
 	e := s.entry
 	rev := e.declared.now()
@@ -132,8 +133,8 @@
 	return s.cells[name]
 }
 
-// splitVMs sorts the VMs with workers into cells; the first cell that matches
-// gets a VM.
+// splitVMs assigns the VMs that have workers to cells. A VM belongs to the
+// first cell whose selector matches it.
 func splitVMs(rev *revision, vms []fleet.VM) map[string][]fleet.VM {
 	out := map[string][]fleet.VM{}
 	for _, vm := range vms {
@@ -151,8 +152,8 @@
 	return out
 }
 
-// elsewhere sums what each group holds in other cells, by the newest summary
-// of each cell.
+// usageElsewhere returns what each group uses in other cells, by the newest
+// summary of each cell.
 func (s *shards) elsewhere(cell string, now time.Duration) map[string]fleet.Resources {
 	newest := map[string]*peerv1.GroupUsage{}
 	for _, v := range s.entry.view.peerViews(now) {
@@ -184,7 +185,7 @@
 	return sum
 }
 
-// summary is what peers are told of the shards owned here.
+// summary returns the shards owned here and their groups' usage, for peers.
 func (s *shards) summary() ([]*peerv1.OwnedShard, []*peerv1.GroupUsage) {
 	var owned []*peerv1.OwnedShard
 	var usage []*peerv1.GroupUsage
@@ -202,7 +203,7 @@
 	return owned, usage
 }
 
-// handOver gives up all shards and waits until they are, or ctx ends.
+// handOver gives up all shards and waits until that is done or ctx ends.
 func (s *shards) handOver(ctx context.Context) {
 	s.leave.Store(true)
 	s.entry.replan()
@@ -219,7 +220,8 @@
 	}
 }
 
-// status is what other goroutines may know of a runner: the term owned, or zero.
+// status is the part of a runner that other goroutines may read: the term in
+// which it owns its shard, or zero.
 type status struct{ term atomic.Uint64 }
 
 func (s *status) ownedTerm() uint64 { return s.term.Load() }
@@ -232,7 +234,7 @@
 	s.term.Store(0)
 }
 
-// storeOp carries out a store operation.
+// storeOp carries out a store operation of a shard.
 func (e *Entry) storeOp(ctx context.Context, op shard.Op) shard.Answer {
 	a := shard.Answer{ID: op.ID}
 	if op.Txn != nil {
--- a/entry/tasks.go
+++ b/entry/tasks.go
@@ -23,17 +23,18 @@
 )
 
 const (
-	// taskCallTimeout bounds a call on tasks, a takeover of the cell included.
+	// taskCallTimeout bounds a call on tasks, including a takeover of the cell.
 	taskCallTimeout = 15 * time.Second
 	// maxTasks bounds one submission.
 	maxTasks = 10_000
 	// maxTaskID bounds a task's id in bytes.
 	maxTaskID = 200
-	// watchEvery is how often a waiting status call looks at the task.
+	// statusCheckInterval is how often a waiting status call reads the task.
 	watchEvery = 100 * time.Millisecond
 )
 
-// Task is a task as callers submit it. RunTimeMS is what the caller expects.
+// Task is a task as callers submit it. RunTimeMS is the run time that the
+// caller expects.
 type Task struct {
 	ID            string            `json:"id"`
 	Kind          string            `json:"kind,omitempty"`
@@ -84,7 +85,7 @@
 	e.reply(w, answers)
 }
 
-// readTasks reads one task or a list of them.
+// readTasks reads one task or a list of tasks from the body.
 func readTasks(w http.ResponseWriter, r *http.Request) ([]Task, *result.Error) {
 	body, refusal := readAll(w, r)
 	if refusal != nil {
@@ -141,7 +142,7 @@
 	return TaskAnswer{ID: id, Code: code, Name: result.Lookup(code).Name, Detail: detail}
 }
 
-// prepare checks a task, binds it to its group and finds its home cell.
+// prepareTask validates a task, binds it to its group and finds its home cell.
 func (e *Entry) prepare(rev *revision, t Task) (*journalv1.TaskSpec, string, *result.Error) {
 	if t.ID == "" || len(t.ID) > maxTaskID {
 		return nil, "", result.New(result.BadRequest, "a task's id has 1 to %d bytes", maxTaskID)
@@ -178,9 +179,9 @@
 	return a + "," + b
 }
 
-// homeCell picks among the cells whose declared selector can overlap with the
-// task's. Only declarations decide, so that all entries with the same revision
-// agree, whatever VMs they see.
+// homeCell picks a cell among those whose declared selector can overlap with
+// the task's. Only the declarations decide, so that all entries with the same
+// revision agree, whichever VMs they see.
 func homeCell(rev *revision, id string, sel labels.Selector) string {
 	var names []string
 	for _, c := range rev.cells {
@@ -191,8 +192,9 @@
 	return membership.HomeCell(id, names)
 }
 
-// atOwner tries a call at a cell's owner until it answers or ctx ends. local
-// is used where this entry owns the cell. try returns false to go on.
+// callOwner retries a call to a cell's owner until it is answered or ctx ends.
+// It calls local if this entry owns the cell, else remote with the owner's
+// address; both return false if the call has to be retried.
 func (e *Entry) atOwner(ctx context.Context, name string, local func(*cellRunner) bool, remote func(addr string) bool) {
 	for ctx.Err() == nil {
 		c := e.shards.cell(name)
@@ -243,8 +245,8 @@
 	return r
 }
 
-// fill takes over a reply's results. It returns false where the call has to be
-// tried again: submitting is idempotent.
+// applyResults copies a reply's results to out. It returns false if the call
+// has to be retried, which is safe as submitting is idempotent.
 func fill(out []TaskAnswer, specs []*journalv1.TaskSpec, r cell.Reply) bool {
 	if r.Err != nil {
 		return !again(r.Err.Code) && setAll(out, specs, r.Err)
@@ -272,7 +274,7 @@
 	return true
 }
 
-// query reads tasks from one cell.
+// queryCell reads tasks from one cell.
 func (e *Entry) query(ctx context.Context, name, id string, sel labels.Selector) ([]*journalv1.TaskState, *result.Error) {
 	var tasks []*journalv1.TaskState
 	refusal := result.New(result.OwnerUnavailable, "cell %s", name).After(time.Second)
@@ -304,7 +306,7 @@
 	return sel.String()
 }
 
-// findTask looks for a task in all cells, its likely home first.
+// findTask searches all cells for a task, its likely home first.
 func (e *Entry) findTask(ctx context.Context, id string) (*journalv1.TaskState, string, *result.Error) {
 	refusal := result.New(result.UnknownTask, "task %s", id)
 	for _, name := range cellsByHome(e.declared.now(), id) {
@@ -348,7 +350,7 @@
 	return s
 }
 
-// serveTask answers with a task's state; with wait_ms it waits for its end.
+// serveTask answers with a task's state; with wait_ms it waits for the task's end.
 func (e *Entry) serveTask(w http.ResponseWriter, r *http.Request) {
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
 	until := e.clock() + config.Ms(min(max(wait, 0), 60_000))
@@ -395,7 +397,7 @@
 	}{id, name, text})
 }
 
-// parseSelector reads the selector parameter; empty selects everything.
+// parseSelector reads the query parameter "selector"; an empty one selects all.
 func parseSelector(r *http.Request) (labels.Selector, *result.Error) {
 	sel, err := labels.Parse(r.URL.Query().Get("selector"))
 	if err != nil {
@@ -404,7 +406,7 @@
 	return sel, nil
 }
 
-// inEachCell calls fn for each declared cell and returns the first refusal.
+// forEachCell calls fn for each declared cell and returns the first refusal.
 func (e *Entry) inEachCell(r *http.Request, fn func(ctx context.Context, cell string) *result.Error) *result.Error {
 	ctx, cancel := context.WithTimeout(r.Context(), taskCallTimeout)
 	defer cancel()
@@ -473,7 +475,7 @@
 	e.reply(w, out)
 }
 
-// cancelIn cancels tasks of one cell. Cancelling is idempotent.
+// cancelInCell cancels tasks of one cell. Cancelling is idempotent.
 func (e *Entry) cancelIn(ctx context.Context, name, id string, sel labels.Selector) ([]TaskAnswer, *result.Error) {
 	var out []TaskAnswer
 	refusal := result.New(result.CommitUnknown, "cell %s; cancel again", name)
--- a/entry/view.go
+++ b/entry/view.go
@@ -10,14 +10,14 @@
 	"leverstile.dev/membership"
 )
 
-// peerStale is the age at which a peer's last exchange shows nothing any more.
+// peerStale is the age from which on a peer's last exchange is disregarded.
 const peerStale = 5 * time.Second
 
-// leavingHold is how long a VM counts as leaving after the last word of it.
+// leavingRetention is how long a VM counts as leaving after the last report of it.
 const leavingHold = 10 * time.Minute
 
-// view is what this entry knows of the fleet. It holds one lock, which is
-// never held while anything is called.
+// view is this entry's knowledge of the fleet. Its lock is never held while
+// anything is called.
 type view struct {
 	mu sync.RWMutex
 	// registered are the entries with a key in the store.
@@ -25,12 +25,12 @@
 	// peers are entries that have exchanged views with this one.
 	peers map[string]peerState
 	// owners are the owner keys of shards as the store's watch tells.
-	owners map[string]string
+	// owners are the owner keys of shards, as received through the store's watch.
 	// drained VMs are those that operators drain.
 	drained map[string]bool
 	vms     []fleet.VM
 	vmsAt   time.Duration
-	// leaving VMs with the time of the last sign of it.
+	// leaving holds the VMs that are leaving, with the time of the last report.
 	leaving map[string]time.Duration
 }
 
@@ -49,8 +49,8 @@
 	}
 }
 
-// entries returns the entries that are thought to be alive: registered ones,
-// and while the store is out, peers heard of lately.
+// entries returns the entries that are considered alive: the registered ones
+// and, while the store is unavailable, peers with a recent exchange.
 func (v *view) entries(now time.Duration, storeOut bool) []membership.Entry {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
@@ -80,7 +80,7 @@
 	return out
 }
 
-// address returns where an entry takes calls of peers.
+// address returns the address at which an entry takes calls of peers.
 func (v *view) address(id string) string {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
@@ -93,8 +93,8 @@
 	return ""
 }
 
-// owner returns the entry that owns a shard as far as is known: the one with
-// the highest term among peers that say so, else the store's owner key.
+// owner returns the entry that owns a shard as far as is known: the one that
+// the store's owner key names, else the peer that reports the highest term.
 func (v *view) owner(shard string, now time.Duration) string {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
@@ -115,25 +115,25 @@
 	return best
 }
 
-// heard takes over a peer's view. It returns whether it tells of a leaving VM
-// that was not known.
+// recordPeerView stores a peer's view. It returns whether the view reports a
+// leaving VM that had no record here.
 func (v *view) heard(now time.Duration, pv *peerv1.View) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.peers[pv.GetEntry()] = peerState{pv, now}
-	news := false
+	updated := false
 	for _, l := range pv.GetLeaving() {
 		at := now - time.Duration(l.GetAgeMs())*time.Millisecond
 		old, known := v.leaving[l.GetVm()]
 		if !known || at > old {
 			v.leaving[l.GetVm()] = at
 		}
-		news = news || !known
+		updated = updated || !known
 	}
-	return news
+	return updated
 }
 
-// alone reports whether no peer has been heard of lately.
+// hasNoPeers reports whether no peer has exchanged views recently.
 func (v *view) alone(now time.Duration) bool { return len(v.peerViews(now)) == 0 }
 
 func (v *view) forgetPeers(now time.Duration) {
@@ -146,7 +146,8 @@
 	}
 }
 
-// markLeaving notes a sign that a VM is leaving. It returns whether that is news.
+// markLeaving records a report that a VM is leaving. It returns whether the VM
+// had no such record yet.
 func (v *view) markLeaving(now time.Duration, vm string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -155,9 +156,9 @@
 	return !known
 }
 
-// leavingVMs returns the VMs whose endpoints get nothing new: leaving in the
-// platform's list, drained by operators, or reported by an endpoint's own
-// refusal here or at a peer.
+// leavingVMs returns the VMs whose endpoints get no new requests: VMs that
+// leave according to the platform's list, that operators drain, or whose
+// endpoint refused a request here or at a peer because it leaves.
 func (v *view) leavingVMs(now time.Duration) map[string]bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -180,7 +181,8 @@
 	return out
 }
 
-// toldLeaving returns the VMs that peers are told of, with the age of the word.
+// leavingReports returns the leaving VMs that are reported to peers, with the
+// age of the last report, so that passing a report on doesn't renew it.
 func (v *view) toldLeaving(now time.Duration) []*peerv1.LeavingVM {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
@@ -206,7 +208,7 @@
 	return v.vms
 }
 
-// peerViews returns the fresh views of peers.
+// peerViews returns the views of peers that are not stale.
 func (v *view) peerViews(now time.Duration) []*peerv1.View {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -15,12 +15,13 @@
 // drainPrefix is the prefix of the keys of VMs that operators drain.
 const drainPrefix = shard.WatchPrefix + "drain/"
 
-// watchRetry is the wait after a watch broke off, with jitter.
+// watchRetry is the delay before a broken watch is started again; a random
+// time up to as long is added.
 const watchRetry = 500 * time.Millisecond
 
 // watch follows the store's keys below shard.WatchPrefix: entries, owners,
-// drained VMs and the head of the declarations. It is the one waiting watch
-// of this entry.
+// drained VMs and the head of the declarations. It is the only watch that
+// this entry keeps open.
 func (e *Entry) watch(ctx context.Context) {
 	for ctx.Err() == nil {
 		pairs, rev, err := e.store.Range(ctx, shard.WatchPrefix)
@@ -43,7 +44,7 @@
 	}
 }
 
-// takeAll replaces what is known from the store by a full read.
+// applySnapshot replaces the data from the store by the result of a full read.
 func (e *Entry) takeAll(pairs []kv.Pair) {
 	e.view.mu.Lock()
 	e.view.registered = map[string]membership.Entry{}
@@ -56,7 +57,7 @@
 	e.replan()
 }
 
-// take takes over one change.
+// applyEvent applies one change of a key.
 func (e *Entry) take(ev kv.Event) {
 	key := ev.Pair.Key
 	if key == headKey {
