--- a/entry/body.go
+++ b/entry/body.go
@@ -11,7 +11,8 @@
 	"leverstile.dev/config"
 )
 
-// readBody keeps a small body, so that the request can be sent again.
+// readBody reads the request's body. It keeps a small one in memory, so that
+// the request can be sent again.
 func (x *proxyRequest) readBody() *result.Error {
 	limits := x.svc.entry.settings.Limits
 	x.size = x.r.ContentLength
@@ -34,8 +35,8 @@
 	return nil
 }
 
-// idleTimeoutReader reads a caller's body and gives up on a caller that sends
-// nothing for too long.
+// idleTimeoutReader reads a caller's body. Reads fail with a timeout if the
+// caller sends nothing for the time idle.
 type idleTimeoutReader struct {
 	body io.ReadCloser
 	c    *http.ResponseController
@@ -47,9 +48,9 @@
 	_ = p.c.SetReadDeadline(time.Now().Add(p.idle))
 	n, err := p.body.Read(b)
 	if errors.Is(err, io.EOF) {
-		// The connection's next request has its own time. After a timeout the
-		// deadline stays: net/http reads what is left of a body before it
-		// answers, and would wait for it.
+		// The connection's next request has a deadline of its own. After a
+		// timeout the deadline stays: before it answers, net/http reads the rest
+		// of a body and would wait for it.
 		_ = p.c.SetReadDeadline(time.Time{})
 	}
 	return n, err
@@ -66,7 +67,7 @@
 	return result.New(result.BadRequest, "body: %v", err)
 }
 
-// bodyCapture keeps what is written to it, up to a limit.
+// bodyCapture keeps what is written to it, or nothing if that exceeds limit.
 type bodyCapture struct {
 	limit   int
 	buf     bytes.Buffer
@@ -83,9 +84,9 @@
 	return k.buf.Write(b)
 }
 
-// flushWriter passes data on at once where the endpoint streams. For a claimed
-// request a caller that went away doesn't end the reading of the answer, as
-// its outcome has to be recorded.
+// flushWriter writes an endpoint's answer to the caller, and flushes each write
+// if the endpoint streams. For a claimed request a caller that has gone away
+// doesn't end the reading of the answer, as its outcome has to be recorded.
 type flushWriter struct {
 	w    http.ResponseWriter
 	c    *http.ResponseController
--- a/entry/declared.go
+++ b/entry/declared.go
@@ -22,17 +22,17 @@
 	"leverstile.dev/shard"
 )
 
-// headKey holds the head of the accepted declarations. The document itself
-// stands in parts below documentPrefix, each under the hash of its content: an
+// headKey holds the head of the accepted declarations. The document itself is
+// stored in parts below documentPrefix, each under the hash of its content: an
 // entry that has the former revision reads only the parts that have changed.
 const (
 	headKey        = shard.WatchPrefix + "declarations"
 	documentPrefix = "/leverstile/declarations/"
-	// partMax bounds a part, so that its base64 stays under the store's 1 MB.
+	// maxPartBytes bounds a part, so that its base64 stays under the store's 1 MB.
 	partMax = 700_000
-	// partMin and partMask make parts end at lines that depend on the text
-	// alone, every 4 KB or so, so that a change in one place leaves the other
-	// parts as they are (content-defined chunking, Muthitacharoen et al. 2001).
+	// minPartBytes and partBoundaryMask end parts at lines that depend on the
+	// text alone, about every 4 KB, so that a change in one place leaves the
+	// other parts as they are (content-defined chunking, Muthitacharoen et al. 2001).
 	partMin  = 2048
 	partMask = 63
 )
@@ -45,7 +45,7 @@
 	Parts    []string `json:"parts"`
 }
 
-// split cuts a document into parts.
+// splitDocument cuts a document into parts.
 func split(doc []byte) [][]byte {
 	var parts [][]byte
 	from := 0
@@ -110,19 +110,19 @@
 	return r, nil
 }
 
-// declared keeps the newest declarations known here. Invariant: the revision
-// in force never gets smaller.
+// declared holds the newest declarations that this entry has, and fetches newer
+// ones. Invariant: the number of the active revision never decreases.
 type declared struct {
 	store   kv.Store
 	onForce func(*revision)
 	// fetched counts the bytes of parts read from the store.
 	fetched *metrics.Counter
 
-	// forcing is taken before mu and held while onForce runs.
+	// activateMu is locked before mu and held while onActivate runs.
 	forcing sync.Mutex
 	mu      sync.RWMutex
 	current *revision
-	seen    head // newest head seen in the store
+	seen    head // newest head received from the store
 	wake    chan struct{}
 }
 
@@ -134,15 +134,15 @@
 	}
 }
 
-// now returns the revision in force here.
+// active returns the revision in force at this entry.
 func (d *declared) now() *revision {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return d.current
 }
 
-// force puts a revision into force unless it is older than the current one.
-// Two revisions that arrive at once are put into force one after the other, so
+// activate puts a revision into force if it is newer than the current one.
+// Revisions that arrive concurrently are put into force one after the other, so
 // that the older one can't be the last to reach the services.
 func (d *declared) force(r *revision) {
 	d.forcing.Lock()
@@ -158,7 +158,7 @@
 	}
 }
 
-// headSeen notes a head from the store; run fetches the document.
+// recordHead records a head from the store; run fetches its document.
 func (d *declared) headSeen(p kv.Pair) {
 	var h head
 	if json.Unmarshal(p.Value, &h) != nil {
@@ -175,10 +175,11 @@
 	}
 }
 
-// fetchRetry is the wait after a document could not be read.
+// fetchRetry is the interval of checks for a newer head, and the delay before a
+// failed commit is retried.
 const fetchRetry = 300 * time.Millisecond
 
-// run fetches the documents of heads that are newer than what is in force.
+// run fetches the documents of heads that are newer than the revision in force.
 func (d *declared) run(ctx context.Context) {
 	for {
 		select {
@@ -199,7 +200,7 @@
 	}
 }
 
-// fetch reads the parts that are not at hand, in one call.
+// fetch reads the parts that the current document doesn't have, in one call.
 func (d *declared) fetch(ctx context.Context, h head) (*revision, error) {
 	have := map[string][]byte{}
 	for _, part := range split(d.now().document) {
@@ -243,7 +244,7 @@
 
 // accept makes a document the next revision, if base is still the newest. It
 // returns the accepted revision, or a result.Error: RevisionConflict, or
-// CommitUnknown where the store's answer was lost and can't be made out.
+// CommitUnknown if the store's answer was lost and the outcome can't be found.
 func (d *declared) accept(ctx context.Context, base uint64, doc []byte) (*revision, error) {
 	next, err := newRevision(base+1, doc)
 	if err != nil {
@@ -261,9 +262,9 @@
 	return next, nil
 }
 
-// writeParts writes the parts that the store doesn't have. One that is there
-// already may be deleted by another operator's acceptance right after; then
-// that one was accepted, and this change will be refused for its base.
+// writeParts writes the parts that the store doesn't have. A part that exists
+// may be deleted right after by the acceptance of another operator's change;
+// that change then makes this one's base outdated, so that this one is refused.
 func (d *declared) writeParts(ctx context.Context, h *head, doc []byte) error {
 	for _, part := range split(doc) {
 		name := partName(part)
@@ -280,8 +281,9 @@
 	return nil
 }
 
-// staleParts are the parts of cur that h has not. Parts of changes that lost a
-// race stay until a later document happens to hold them; they are few.
+// staleParts returns the deletions of the parts of cur that h doesn't have.
+// Parts of changes that lost a race stay until a later document happens to
+// contain them; they are few.
 func staleParts(cur, h head) []kv.Op {
 	var out []kv.Op
 	for _, name := range cur.Parts {
@@ -292,7 +294,8 @@
 	return out
 }
 
-// commitTries is how often a commit whose answer was lost is tried again.
+// maxCommitAttempts bounds the attempts of a commit, which is repeated if the
+// store's answer is lost.
 const commitTries = 4
 
 func (d *declared) commitHead(ctx context.Context, base uint64, h head) error {
@@ -318,8 +321,8 @@
 	return result.New(result.CommitUnknown, "the store did not confirm: %v", err)
 }
 
-// tryHead reads the head and swaps it. If the head already is h, then an
-// earlier try took effect.
+// tryCommitHead reads the head and replaces it. If the head already is h, an
+// earlier attempt took effect.
 func (d *declared) tryHead(ctx context.Context, base uint64, h head, value []byte, sent *bool) (bool, error) {
 	res, err := d.store.Do(ctx, kv.Txn{Then: []kv.Op{kv.Get(headKey)}})
 	if err != nil {
@@ -351,8 +354,8 @@
 	return got.Succeeded, nil
 }
 
-// conflict tells a lost race. Where an earlier try of ours may have been
-// accepted and replaced since, the outcome is unknown.
+// conflictError reports a lost race. If an earlier attempt of this change may
+// have been accepted and replaced since, the outcome is unknown.
 func (d *declared) conflict(current, base uint64, h head, sent bool) error {
 	if sent && current > h.Revision {
 		return result.New(result.CommitUnknown, "revision %d may have been accepted; revision %d is in force now", h.Revision, current)
--- a/entry/front.go
+++ b/entry/front.go
@@ -20,7 +20,7 @@
 // maxDocument bounds declarations and task submissions in bytes.
 const maxDocument = 32 << 20
 
-// callersHandler serves callers and operators; docs/API.md describes it.
+// callersHandler serves callers and operators; docs/API.md describes the interface.
 func (e *Entry) callersHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/v1/services/{service}", e.serveService)
@@ -51,7 +51,7 @@
 	e.refuse(w, result.New(code, "%s %s", r.Method, r.URL.Path))
 }
 
-// serveReady tells the balancer whether to send callers here.
+// serveReady reports to the balancer whether this entry takes requests of callers.
 func (e *Entry) serveReady(w http.ResponseWriter, _ *http.Request) {
 	switch {
 	case e.draining.Load():
@@ -69,7 +69,7 @@
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// readAll reads a bounded body.
+// readAll reads a body of at most maxDocument bytes.
 func readAll(w http.ResponseWriter, r *http.Request) ([]byte, *result.Error) {
 	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxDocument))
 	if err != nil {
@@ -78,7 +78,7 @@
 	return b, nil
 }
 
-// asRefusal turns an error into one with a code.
+// toResultError returns err as an error with a result code.
 func asRefusal(err error) *result.Error {
 	var re *result.Error
 	if errors.As(err, &re) {
@@ -87,7 +87,7 @@
 	return result.New(result.StoreUnavailable, "%v", err).After(time.Second)
 }
 
-// DeclarationsAnswer answers a change of declarations.
+// DeclarationsAnswer is the answer to a change of declarations.
 type DeclarationsAnswer struct {
 	Revision uint64          `json:"revision"`
 	Problems config.Problems `json:"problems,omitempty"`
@@ -141,7 +141,7 @@
 	e.reply(w, DeclarationsAnswer{Revision: rev.number, Problems: problems})
 }
 
-// FilesBody is a set of files in one body; its media type is FilesType.
+// FilesBody is a set of files in one body, sent with the media type FilesType.
 type FilesBody struct {
 	Files []struct {
 		Name string `json:"name"`
@@ -175,7 +175,7 @@
 	})
 }
 
-// serveDrainVM marks a VM as leaving on operators' word.
+// serveDrainVM marks a VM as leaving on behalf of an operator.
 func (e *Entry) serveDrainVM(w http.ResponseWriter, r *http.Request) {
 	e.changeDrain(w, r, kv.Put(drainPrefix+r.PathValue("vm"), []byte(e.settings.ID), 0))
 }
@@ -208,7 +208,7 @@
 	return false
 }
 
-// Member is an entry as another one sees it.
+// Member is an entry of the fleet as the answering entry sees it.
 type Member struct {
 	membership.Entry
 	Revision uint64   `json:"revision"`
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -18,13 +18,13 @@
 	"leverstile.dev/membership"
 )
 
-// Counters of the traffic with peers, in both roles.
+// Counters of the bytes exchanged with peers, as client and as server.
 const (
 	peerSent = "leverstile_peer_sent_bytes_total"
 	peerRead = "leverstile_peer_read_bytes_total"
 )
 
-// peerClients calls peers by address.
+// peerClients holds the clients that call peers, by address.
 type peerClients struct {
 	http *http.Client
 	mu   sync.Mutex
@@ -57,10 +57,10 @@
 	return c
 }
 
-// exchangeFanOut bounds the peers that one round exchanges with.
+// exchangeFanOut bounds the number of peers in one round of exchanges.
 const exchangeFanOut = 4
 
-// exchange swaps views with peers, round by round.
+// exchange exchanges views with peers at a fixed interval.
 func (e *Entry) exchange(ctx context.Context) {
 	every := config.Ms(e.settings.Timing.ExchangeEveryMS)
 	for {
@@ -80,9 +80,9 @@
 	}
 }
 
-// exchangePartners returns the addresses to exchange with: of each pair of
-// entries one calls the other, as both sides learn all; a random choice where
-// there are many.
+// exchangePartners returns the addresses to exchange with. Of each pair of
+// entries only one calls the other, as an exchange informs both sides. If there
+// are more than exchangeFanOut, the choice is random.
 func (e *Entry) exchangePartners() []string {
 	self := e.peersLn.Addr().String()
 	seen := map[string]bool{self: true}
@@ -112,7 +112,7 @@
 	defer cancel()
 	resp, err := e.peers.at(addr).Exchange(ctx, connect.NewRequest(&peerv1.ExchangeRequest{View: e.ownView()}))
 	if err != nil {
-		return // a peer that doesn't answer ages in the view
+		return // the view of a peer that doesn't answer becomes stale
 	}
 	e.heard(resp.Msg.GetView())
 	if resp.Msg.GetView().GetDeclarationsRevision() > e.declared.now().number {
@@ -120,7 +120,7 @@
 	}
 }
 
-// heard takes over a peer's view.
+// recordPeerView stores a peer's view.
 func (e *Entry) heard(v *peerv1.View) {
 	if v.GetEntry() == "" || v.GetEntry() == e.settings.ID {
 		return
@@ -137,13 +137,13 @@
 	}
 	r, err := newRevision(resp.Msg.GetRevision(), resp.Msg.GetDocument())
 	if err != nil {
-		e.log.Error().Err(err).Str("peer", addr).Msg("declarations of a peer can't be read")
+		e.log.Error().Err(err).Str("peer", addr).Msg("parsing the declarations of a peer failed")
 		return
 	}
 	e.declared.force(r)
 }
 
-// ownView is what this entry tells its peers.
+// ownView returns the view that this entry sends to its peers.
 func (e *Entry) ownView() *peerv1.View {
 	now := e.clock()
 	v := &peerv1.View{
--- a/entry/peerserver.go
+++ b/entry/peerserver.go
@@ -15,7 +15,7 @@
 	"leverstile.dev/claim"
 )
 
-// peerServer serves the calls of peers.
+// peerServer answers the calls of peers.
 type peerServer struct{ entry *Entry }
 
 func (e *Entry) peersHandler() http.Handler {
@@ -58,8 +58,8 @@
 	return connect.NewResponse(out), nil
 }
 
-// ownedCell returns a cell that this entry owns, with a parsed selector, or nil
-// and the code that says why not.
+// ownedCell returns a cell that this entry owns and the parsed selector, or nil
+// and the code for the reason.
 func (p *peerServer) ownedCell(name, selector string) (*cellRunner, labels.Selector, result.Code) {
 	sel, err := labels.Parse(selector)
 	if err != nil {
--- a/entry/proxy.go
+++ b/entry/proxy.go
@@ -22,7 +22,7 @@
 	"leverstile.dev/router"
 )
 
-// Headers between callers and an entry.
+// Headers of requests of callers and of the entry's answers to them.
 const (
 	HeaderRequestID  = "Leverstile-Request-Id"
 	HeaderCode       = "Leverstile-Code"
@@ -32,13 +32,15 @@
 	HeaderKey        = "Idempotency-Key"
 )
 
-// keptBody is how much of a claimed request's answer is kept for repeats.
+// maxKeptBodyBytes bounds the part of a claimed request's answer that is kept
+// for repeats.
 const keptBody = 4 << 10
 
-// maxKey bounds an Idempotency-Key.
+// maxKeyBytes bounds an Idempotency-Key.
 const maxKey = 256
 
-// proxyRequest is one caller's request on its way.
+// proxyRequest is one caller's request to a service, from its arrival to its
+// answer.
 type proxyRequest struct {
 	svc      *service
 	w        http.ResponseWriter
@@ -50,7 +52,7 @@
 	deadline time.Duration
 	key      string // set only for requests that need a claim
 	body     []byte
-	rest     io.Reader // what follows body, if it was too large to keep
+	rest     io.Reader // the remainder after body, if the whole is too large to keep
 	size     int64
 	path     string
 	rev      uint64
@@ -102,7 +104,7 @@
 	return x, x.readBody()
 }
 
-// bind finds the group that the request counts for.
+// bindGroup finds the group that the request is accounted to.
 func (x *proxyRequest) bind(rev *revision) *result.Error {
 	set, err := labels.ConvertSelectorToLabelsMap(x.r.Header.Get(HeaderLabels))
 	if err != nil {
@@ -143,7 +145,7 @@
 	return nil
 }
 
-// fingerprint tells a repeated request from another one with the same key.
+// fingerprint distinguishes a repeated request from another one with the same key.
 func (x *proxyRequest) fingerprint() uint64 {
 	h := xxhash.New()
 	_, _ = fmt.Fprintf(h, "%s\x00%s\x00%s\x00%d\x00", x.r.Method, x.path, x.r.URL.RawQuery, x.size)
@@ -151,8 +153,8 @@
 	return h.Sum64()
 }
 
-// claim claims the request's key. It answers the caller itself and returns
-// false unless the request may be sent.
+// claim claims the request's key. It returns true if the request may be sent,
+// else it has answered the caller.
 func (x *proxyRequest) claim() bool {
 	e := x.svc.entry
 	reply := e.claimFor(x.r.Context(), x.svc.name, claim.Request{
@@ -168,7 +170,7 @@
 		return false
 	}
 	if reply.Code == result.OwnerUnavailable {
-		// The claim may have been granted without our learning of it. Nothing
+		// The claim may have been granted although the reply was lost. Nothing
 		// was sent and nothing will be.
 		x.ended(journalv1.ClaimPhase_CLAIM_PHASE_RELEASED, nil)
 	}
@@ -176,7 +178,7 @@
 	return false
 }
 
-// replay gives a repeat the first run's answer.
+// replay answers a repeated request with the first run's answer.
 func (x *proxyRequest) replay(out *journalv1.ClaimOutcome) {
 	h := x.w.Header()
 	h.Set(HeaderReplayed, "true")
@@ -192,7 +194,7 @@
 	_, _ = x.w.Write(out.GetBody())
 }
 
-// route follows the router's actions until the request has ended.
+// route carries out the router's actions until the request has ended.
 func (x *proxyRequest) route() {
 	e := x.svc.entry
 	actions := x.svc.arrive(router.Request{
@@ -200,13 +202,13 @@
 		Repeatable: x.repeatable(), Once: x.once(),
 	})
 	defer x.svc.leave(x.id)
-	gone := x.r.Context().Done()
+	callerGone := x.r.Context().Done()
 	if x.key != "" {
-		gone = nil // the outcome is recorded even if the caller goes away
+		callerGone = nil // the outcome is recorded even if the caller goes away
 	}
 	for {
 		select {
-		case <-gone:
+		case <-callerGone:
 			x.log("gone", result.CallerWentAway, "", 0)
 			return
 		case a := <-actions:
@@ -239,8 +241,8 @@
 	return spec != nil && spec.IsRepeatable(x.r.Method, x.path) && x.rest == nil
 }
 
-// once: a request that is not repeatable and has no key gets one attempt ever;
-// so does one whose body can't be sent twice.
+// singleAttempt reports whether the request gets only one attempt: it is not
+// repeatable and has no key, or its body can't be sent twice.
 func (x *proxyRequest) once() bool { return x.rest != nil || !x.repeatable() && x.key == "" }
 
 func routerClass(c config.Class) router.Class {
@@ -254,9 +256,9 @@
 	}
 }
 
-// ended records the outcome of a claimed request, while the caller gets its
-// answer. The handler must not wait for it: the connection's next request would
-// wait too. A planned stop does.
+// recordOutcome records the outcome of a claimed request in the background. The
+// handler must not wait for it, as the connection's next request would wait
+// too. A planned stop does wait.
 func (x *proxyRequest) ended(phase journalv1.ClaimPhase, out *journalv1.ClaimOutcome) {
 	if x.key == "" {
 		return
@@ -266,7 +268,7 @@
 }
 
 // send makes one attempt. It returns true if the request has ended with it,
-// false if the router decides what comes next.
+// or false if the router decides on the next action.
 func (x *proxyRequest) send(a router.Action) bool {
 	x.log("send", result.OK, a.Endpoint.ID, a.Attempt)
 	base := x.r.Context()
@@ -275,9 +277,9 @@
 	}
 	ctx, cancel := context.WithTimeout(base, x.deadline-x.svc.entry.clock())
 	defer cancel()
-	began := x.svc.entry.clock()
+	started := x.svc.entry.clock()
 	res := x.svc.transport.attempt(ctx, x.outgoing(a.Endpoint.ID))
-	latency := x.svc.entry.clock() - began
+	latency := x.svc.entry.clock() - started
 	if res.kind == router.Leaving {
 		x.svc.entry.noteLeaving(a.Endpoint.VM)
 	}
@@ -293,11 +295,11 @@
 		return res.kind == router.Abandoned
 	}
 	defer res.resp.Body.Close()
-	x.answer(res, began)
+	x.answer(res, started)
 	return true
 }
 
-// outgoing builds the request to an endpoint.
+// outgoing builds the request that is sent to an endpoint.
 func (x *proxyRequest) outgoing(address string) *http.Request {
 	u := *x.r.URL
 	u.Scheme, u.Host = "http", address
@@ -316,9 +318,10 @@
 	return req
 }
 
-// answer passes an endpoint's answer on. A cut answer cuts the connection to
-// the caller, so that it is never taken for a whole one.
-func (x *proxyRequest) answer(res attemptResult, began time.Duration) {
+// forwardAnswer copies an endpoint's answer to the caller. If the answer is cut
+// off, it aborts the caller's connection, so that the caller never takes the
+// part for the whole.
+func (x *proxyRequest) answer(res attemptResult, started time.Duration) {
 	h := x.w.Header()
 	copyHeaders(h, res.resp.Header)
 	h.Set(HeaderRequestID, x.reqID)
@@ -328,8 +331,8 @@
 	out := &flushWriter{w: x.w, c: http.NewResponseController(x.w), live: res.resp.ContentLength < 0, key: x.key != ""}
 	out.idle = config.Ms(x.svc.entry.settings.Timing.CallerIdleMS)
 	_, err := io.Copy(io.MultiWriter(out, kept), res.resp.Body)
-	_ = out.c.SetWriteDeadline(time.Time{}) // net/http keeps it for the connection's next answer
-	o := router.Outcome{Kind: res.kind, Latency: x.svc.entry.clock() - began, AnswerBegan: true}
+	_ = out.c.SetWriteDeadline(time.Time{}) // else net/http keeps it for the connection's next answer
+	o := router.Outcome{Kind: res.kind, Latency: x.svc.entry.clock() - started, AnswerBegan: true}
 	if err != nil && out.err == nil {
 		o.Kind = router.Lost
 	} else if err != nil {
@@ -350,7 +353,7 @@
 	}
 }
 
-// log writes the line of one routing decision.
+// logDecision logs a routing decision and counts a refusal.
 func (x *proxyRequest) log(decision string, code result.Code, endpoint string, attempt int) {
 	e := x.svc.entry
 	e.log.Info().Str("decision", decision).Str("service", x.svc.name).Str("request", x.reqID).
@@ -361,10 +364,10 @@
 	}
 }
 
-// noteLeaving takes over an endpoint's own word that it is leaving.
+// recordLeavingVM records that an endpoint refused a request because its VM leaves.
 func (e *Entry) noteLeaving(vm string) {
 	if e.view.markLeaving(e.clock(), vm) {
-		e.log.Info().Str("vm", vm).Msg("endpoint says that it is leaving")
+		e.log.Info().Str("vm", vm).Msg("endpoint refused a request because it is leaving")
 		e.services.refresh()
 	}
 }
@@ -381,7 +384,7 @@
 	RequestID    string      `json:"request_id,omitempty"`
 }
 
-// refuse answers with a code, at once.
+// refuse answers at once with a result code.
 func (e *Entry) refuse(w http.ResponseWriter, err *result.Error) {
 	info := result.Lookup(err.Code)
 	body := Refusal{
--- a/entry/services.go
+++ b/entry/services.go
@@ -14,7 +14,7 @@
 	"leverstile.dev/router"
 )
 
-// Defaults of a declared service.
+// Defaults of a declared service's settings.
 const (
 	defaultTimeout    = 30 * time.Second
 	defaultAttempts   = 3
@@ -29,7 +29,8 @@
 	nextID atomic.Uint64
 }
 
-// service is one service's table with the requests that wait for its actions.
+// service is one service's routing table, with the requests that wait for its
+// actions.
 type service struct {
 	entry     *Entry
 	name      string
@@ -65,7 +66,7 @@
 	return out
 }
 
-// setDeclared takes over the services of a revision.
+// setDeclared applies the services of a revision.
 func (s *services) setDeclared(rev *revision) {
 	s.mu.Lock()
 	next := make(map[string]*service, len(rev.services))
@@ -96,7 +97,7 @@
 	svc.mu.Lock()
 	defer svc.mu.Unlock()
 	svc.spec = spec
-	svc.vms, _ = labels.Parse(spec.VMs) // checked at acceptance
+	svc.vms, _ = labels.Parse(spec.VMs) // validated when the declarations were accepted
 	p := router.Params{
 		Slots: spec.Slots, Place: svc.entry.settings.Place, Queue: svc.entry.settings.Limits.Queue,
 		Attempts: spec.Attempts, RetryRatio: spec.RetryRatio,
@@ -119,7 +120,8 @@
 	return defaultTimeout
 }
 
-// refresh hands the VM list and the leaving VMs to all tables.
+// refresh updates all tables with the VM list, the leaving VMs and the number
+// of entries.
 func (s *services) refresh() {
 	now := s.entry.clock()
 	vms := s.entry.view.listVMs()
@@ -160,10 +162,10 @@
 	return n
 }
 
-// serviceTick is how often waiting requests are looked at.
+// serviceTickInterval is how often tables with queued requests get the time.
 const serviceTick = 5 * time.Millisecond
 
-// run lets time pass in all tables.
+// run passes the time to all tables that have queued requests.
 func (s *services) run(ctx context.Context) {
 	ticker := time.NewTicker(serviceTick)
 	defer ticker.Stop()
@@ -190,8 +192,8 @@
 	}
 }
 
-// deliver hands actions to the requests they are for. The lock is held; each
-// channel has room, as a request has one action at a time.
+// deliver sends actions to the requests that they are for. svc.mu is held; no
+// send blocks, as a request has one action at a time and its channel buffers one.
 func (svc *service) deliver(actions []router.Action) {
 	for _, a := range actions {
 		if ch := svc.waiting[a.Request]; ch != nil {
@@ -200,7 +202,7 @@
 	}
 }
 
-// arrive enters a request and returns the channel of its actions.
+// arrive adds a request to the table and returns the channel of its actions.
 func (svc *service) arrive(r router.Request) <-chan router.Action {
 	svc.mu.Lock()
 	defer svc.mu.Unlock()
@@ -210,15 +212,15 @@
 	return ch
 }
 
-// finish tells how an attempt ended.
+// finish reports to the table how an attempt ended.
 func (svc *service) finish(id uint64, o router.Outcome) {
 	svc.mu.Lock()
 	defer svc.mu.Unlock()
 	svc.deliver(svc.table.Finish(svc.entry.clock(), id, o))
 }
 
-// leave forgets a request. If it was sent to an endpoint at this moment, the
-// slot is given back.
+// leave removes a request. If it was assigned to an endpoint meanwhile, the
+// endpoint's slot is freed.
 func (svc *service) leave(id uint64) {
 	svc.mu.Lock()
 	defer svc.mu.Unlock()
--- a/entry/transport.go
+++ b/entry/transport.go
@@ -16,8 +16,8 @@
 	"leverstile.dev/router"
 )
 
-// HeaderNotRun is set by an endpoint on a 503 answer to say that it did not
-// begin the request: "full" or "leaving".
+// HeaderNotRun is set by an endpoint on a 503 answer to state that it did not
+// start the request and why: "full" or "leaving".
 const HeaderNotRun = "Leverstile-Not-Run"
 
 // Values of HeaderNotRun.
@@ -26,7 +26,7 @@
 	notRunLeaving = "leaving"
 )
 
-// transport sends requests to endpoints.
+// transport sends requests to the endpoints of one service.
 type transport struct {
 	mu sync.RWMutex
 	rt *http.Transport
@@ -44,7 +44,7 @@
 	}
 }
 
-// setLimit bounds the connections to each endpoint.
+// setLimit bounds the number of connections to each endpoint.
 func (t *transport) setLimit(limit int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -64,25 +64,25 @@
 
 func (t *transport) close() { t.current().CloseIdleConnections() }
 
-// onceBody is a request body that can't be rewound. net/http sends a request
-// again by itself after a connection fault if the method is safe or an
-// Idempotency-Key is set, and the body is empty or can be rewound; with this
-// body it never does, as whether to repeat is the router's decision.
+// onceBody is a request body that can't be rewound. After a connection error
+// net/http retries a request by itself if the method is safe or an
+// Idempotency-Key is set, and the body is empty or can be rewound. With this
+// body it never does, as the router decides on retries.
 type onceBody struct{ io.Reader }
 
 // Close implements io.Closer.
 func (onceBody) Close() error { return nil }
 
-// attemptResult is the start of an endpoint's answer, or why there is none.
+// attemptResult is the start of an endpoint's answer, or the reason for its absence.
 type attemptResult struct {
 	resp *http.Response
 	kind router.Kind
 	err  error
 }
 
-// attempt sends one request to one endpoint. An error is classified by what is
-// proven: without a connection nothing was sent; with one, the outcome is
-// unknown.
+// attempt sends one request to one endpoint. An error is classified by what it
+// proves: if there was no connection, nothing was sent; otherwise the outcome
+// is unknown.
 func (t *transport) attempt(ctx context.Context, req *http.Request) attemptResult {
 	connected := false
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -113,7 +113,7 @@
 	return router.Answered
 }
 
-// hopByHop are the headers that concern one connection only (RFC 9110, section
+// hopByHop are the headers that apply to a single connection (RFC 9110, section
 // 7.6.1).
 var hopByHop = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate",
--- a/entry/view.go
+++ b/entry/view.go
@@ -24,8 +24,8 @@
 	registered map[string]membership.Entry
 	// peers are entries that have exchanged views with this one.
 	peers map[string]peerState
-	// owners are the owner keys of shards as the store's watch tells.
 	// owners are the owner keys of shards, as received through the store's watch.
+	owners map[string]string
 	// drained VMs are those that operators drain.
 	drained map[string]bool
 	vms     []fleet.VM
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -35,7 +35,7 @@
 			})
 		}
 		if ctx.Err() == nil {
-			e.log.Warn().Err(err).Msg("watch of the store broke off")
+			e.log.Warn().Err(err).Msg("watch of the store failed; retrying")
 		}
 		select {
 		case <-ctx.Done():
