--- a/entry/cells.go
+++ b/entry/cells.go
@@ -16,7 +16,7 @@
 	"leverstile.dev/scheduler"
 )
 
-// shardTick is the interval of the ticks of a shard's owner.
+// shardTickInterval is the interval of the ticks of a shard's owner.
 const shardTick = 10 * time.Millisecond
 
 // cellRunner runs the owner of one cell in this entry: it carries out the
--- a/entry/declared_test.go
+++ b/entry/declared_test.go
@@ -20,8 +20,8 @@
 	"leverstile.dev/standin"
 )
 
-// flakyStore is an entry's way to the store: calls are cut, or their answers
-// lost, as a seed says.
+// flakyStore is an entry's connection to the store. By a seeded random choice
+// it drops calls or their answers.
 type flakyStore struct {
 	kv.Store
 	mu  sync.Mutex
@@ -31,15 +31,15 @@
 
 func (f *flakyStore) Do(ctx context.Context, txn kv.Txn) (kv.TxnResult, error) {
 	f.mu.Lock()
-	cut, fate := f.cut, f.rng.IntN(10)
+	cut, fault := f.cut, f.rng.IntN(10)
 	delay := time.Duration(f.rng.IntN(200)) * time.Millisecond
 	f.mu.Unlock()
-	time.Sleep(delay) // so that operators get between each other's calls
-	if cut || fate == 0 {
+	time.Sleep(delay) // so that the operators' calls interleave
+	if cut || fault == 0 {
 		return kv.TxnResult{}, errors.Trace(kv.ErrUnavailable)
 	}
 	res, err := f.Store.Do(ctx, txn)
-	if fate == 1 {
+	if fault == 1 {
 		return kv.TxnResult{}, errors.Trace(kv.ErrUnavailable)
 	}
 	return res, err
@@ -51,8 +51,8 @@
 	f.cut = cut
 }
 
-// declaredNode is what an entry runs for declarations: the watch and the
-// fetching, without the rest.
+// declaredNode is the part of an entry that handles declarations: the watch and
+// the fetching.
 type declaredNode struct {
 	*declared
 	store *flakyStore
@@ -107,8 +107,9 @@
 }
 
 // declarationsModel is a register with a revision. An apply succeeds exactly
-// if its base is the revision; a read at an entry may lag, so reads are
-// checked for monotony per entry and against the accepted documents instead.
+// if its base is the current revision. Reads at an entry may lag, so instead of
+// by the model they are checked to be monotonic per entry and against the
+// accepted documents.
 var declarationsModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (bool, any) {
@@ -124,9 +125,9 @@
 	},
 }
 
-// TestDeclarationsRace: operators race at different entries while calls are
-// cut and answers are lost. Accepted changes form one history, are never lost,
-// and no entry's revision goes back.
+// TestDeclarationsRace guards against lost or forked changes and against an
+// entry that returns to an older revision: operators change the declarations
+// concurrently at different entries while calls are cut and answers are lost.
 func TestDeclarationsRace(t *testing.T) {
 	for seed := range uint64(25) {
 		synctest.Test(t, func(t *testing.T) { raceDeclarations(t, seed) })
@@ -153,7 +154,7 @@
 	for _, n := range nodes {
 		n.setCutAll(false)
 	}
-	time.Sleep(10 * time.Second) // heals well within this
+	time.Sleep(10 * time.Second) // the nodes catch up well within this time
 	final := h.check(t, seed)
 	for i, n := range nodes {
 		if n.hasFallen() {
@@ -186,13 +187,13 @@
 		time.Sleep(time.Duration(rng.IntN(900)) * time.Millisecond)
 		base := n.now().number
 		doc := fmt.Sprintf(`{"groups":[{"name":"g-%d-%d","share":1}]}`, client, j)
-		began := time.Since(h.start)
+		started := time.Since(h.start)
 		_, err := n.accept(ctx, base, []byte(doc))
-		h.record(client, applyOp{apply: true, base: base, doc: doc}, began, time.Since(h.start), err)
+		h.record(client, applyOp{apply: true, base: base, doc: doc}, started, time.Since(h.start), err)
 	}
 }
 
-func (h *applyHistory) record(client int, op applyOp, began, ended time.Duration, err error) {
+func (h *applyHistory) record(client int, op applyOp, started, ended time.Duration, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	out := applyOut{known: true, accepted: err == nil}
@@ -201,15 +202,16 @@
 		out.known, ended = false, 1<<40
 	}
 	if errors.As(err, &re) && re.Code == result.StoreUnavailable {
-		return // told that nothing was accepted
+		return // the answer guarantees that nothing was accepted
 	}
 	if err == nil {
 		h.accepted[op.base+1] = op.doc
 	}
-	h.ops = append(h.ops, porcupine.Operation{ClientId: client, Input: op, Call: int64(began), Output: out, Return: int64(ended)})
+	h.ops = append(h.ops, porcupine.Operation{ClientId: client, Input: op, Call: int64(started), Output: out, Return: int64(ended)})
 }
 
-// check returns the highest revision that was acknowledged.
+// check checks that the changes form one history, and returns the highest
+// revision that was acknowledged.
 func (h *applyHistory) check(t *testing.T, seed uint64) uint64 {
 	if !porcupine.CheckOperations(declarationsModel, h.ops) {
 		t.Errorf("seed %d: the accepted changes form no single history", seed)
@@ -219,13 +221,14 @@
 		final = max(final, rev)
 	}
 	if final == 0 {
-		t.Errorf("seed %d: nothing was ever accepted; the test doesn't test", seed)
+		t.Errorf("seed %d: nothing was ever accepted, so the test checks nothing", seed)
 	}
 	return final
 }
 
-// TestLargeDeclarationsAndSmallChanges: a document over 1 MB is accepted as
-// one, and a change in one place has other entries read little of it.
+// TestLargeDeclarationsAndSmallChanges guards against a limit of 1 MB on the
+// document, and against other entries reading all of it after a change in one
+// place.
 func TestLargeDeclarationsAndSmallChanges(t *testing.T) {
 	decl := &config.Declarations{}
 	for i := range 20_000 {
@@ -254,7 +257,7 @@
 		}
 		reader.force(r)
 		if string(r.document) != string(doc) {
-			t.Fatal("the reader has another document")
+			t.Fatal("the reader has a different document")
 		}
 		return len(doc)
 	}
@@ -273,9 +276,9 @@
 	}
 }
 
-// TestRevisionsReachServicesInOrder: a revision is put into force while the lock
-// is held that another one has to wait for, so that of two that arrive at once
-// the older one can't be the last.
+// TestRevisionsReachServicesInOrder guards against an older revision that
+// reaches the services last when two arrive concurrently: onActivate runs while
+// the lock is held that the other revision has to wait for.
 func TestRevisionsReachServicesInOrder(t *testing.T) {
 	var d *declared
 	calls := 0
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -48,7 +48,7 @@
 
 	draining atomic.Bool
 	mismatch atomic.Bool // set by handleFleetMismatch
-	// recording counts outcomes of claimed requests that are not recorded yet.
+	// pendingOutcomes counts outcomes of claimed requests that are not recorded yet.
 	recording sync.WaitGroup
 	replanCh  chan struct{}
 	callers   *http.Server
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -20,8 +20,9 @@
 	"leverstile.dev/standin"
 )
 
-// TestRacingOperators: of two changes based on the same revision one is
-// accepted; the other is told of the conflict, and every entry gets the first.
+// TestRacingOperators guards against a lost update: of two concurrent changes
+// based on the same revision one is accepted and reaches every entry, the other
+// is answered with the conflict.
 func TestRacingOperators(t *testing.T) {
 	c := newCluster(t, 2, 3)
 	c.ready()
@@ -49,8 +50,9 @@
 	})
 }
 
-// TestStartDuringOutage: an entry started while the store is down takes the
-// declarations from its peers and routes.
+// TestStartDuringOutage guards against entries that can't start without the
+// store: one started while it is down gets the declarations from its peers and
+// routes.
 func TestStartDuringOutage(t *testing.T) {
 	c := newCluster(t, 2, 2)
 	c.ready()
@@ -62,14 +64,14 @@
 	})
 	key := map[string]string{HeaderKey: "k"}
 	if a := p.call(http.MethodPost, "/v1/services/svc/", key, nil); a.code != result.OwnerUnavailable && a.code != result.StoreUnavailable {
-		t.Errorf("without the store a claim can't be had; got %+v", a)
+		t.Errorf("a claim without the store was answered with %+v", a)
 	}
 	if n := c.runsOf("k"); n != 0 {
-		t.Errorf("told 'not run', and ran %d times", n)
+		t.Errorf("answered \"not run\", but ran %d times", n)
 	}
 }
 
-// runsOf counts the runs of a key by the endpoints' books.
+// runsOf counts the runs of a key that the endpoints recorded.
 func (c *cluster) runsOf(key string) int {
 	n := 0
 	for _, b := range c.fleet.Books().Endpoints {
@@ -78,14 +80,14 @@
 	return n
 }
 
-// TestKeyRunsOnce: a request with a key, repeated through all entries while
-// endpoints drop connections after the run, runs at most once; and net/http
-// doesn't repeat it by itself.
+// TestKeyRunsOnce guards against a second run of a request with a key, by the
+// entry or by net/http's own retries: it is repeated through all entries while
+// endpoints drop connections after the run.
 func TestKeyRunsOnce(t *testing.T) {
 	c := newCluster(t, 2, 3)
 	c.ready()
 	// Answered requests first, so that kept-alive connections are reused: on
-	// those net/http repeats requests with an Idempotency-Key if it can.
+	// those net/http retries requests with an Idempotency-Key if it can.
 	for _, p := range c.procs {
 		for range 8 {
 			p.call(http.MethodGet, "/v1/services/svc/", nil, nil)
@@ -99,17 +101,17 @@
 		for _, p := range c.procs {
 			a := p.call(http.MethodPost, "/v1/services/svc/sale", map[string]string{HeaderKey: key}, []byte("x"))
 			if a.code.Family() == result.FamilyNotRun && c.runsOf(key) > 0 && a.code != result.ClaimInProgress && a.code != result.NoEndpoint {
-				t.Errorf("key %s: told %v and has run", key, a.code)
+				t.Errorf("key %s: answered %v, but has run", key, a.code)
 			}
 			if a.code == result.OK {
-				t.Errorf("key %s: no answer came, and the caller got one: %+v", key, a)
+				t.Errorf("key %s: the endpoint sent no answer, but the caller got one: %+v", key, a)
 			}
 		}
 		if n := c.runsOf(key); n > 1 {
 			t.Errorf("key %s ran %d times", key, n)
 		}
 	}
-	// Without a key: one attempt, ever; an empty body too.
+	// A request without a key gets a single attempt, also if its body is empty.
 	before := c.totalRuns()
 	c.procs[0].call(http.MethodPost, "/v1/services/svc/once", nil, nil)
 	if n := c.totalRuns() - before; n > 1 {
@@ -125,8 +127,9 @@
 	return n
 }
 
-// TestRepeatGetsFirstAnswer: repeats of a key at other entries, also after the
-// entry that ran it was killed, get the first answer.
+// TestRepeatGetsFirstAnswer guards against a second run or another answer:
+// repeats of a key at other entries, also after the entry that ran it was
+// killed, get the first answer.
 func TestRepeatGetsFirstAnswer(t *testing.T) {
 	c := newCluster(t, 2, 3)
 	c.ready()
@@ -139,8 +142,8 @@
 		}
 		first = append(first, a)
 	}
-	// Outcomes are recorded beside the answer, not before it: what was not
-	// recorded when the entry dies stays in doubt and is not run again.
+	// Outcomes are recorded while the caller gets its answer, not before. One
+	// that isn't recorded when the entry is killed stays unknown and isn't run again.
 	for i := range first {
 		eventually(t, "the outcome is recorded", func() bool {
 			key := map[string]string{HeaderKey: fmt.Sprint("k", i)}
@@ -167,7 +170,8 @@
 	}
 }
 
-// TestCutAnswerIsVisible: an answer that the endpoint cuts never ends cleanly.
+// TestCutAnswerIsVisible guards against an answer that the endpoint cut off, but
+// that ends cleanly for the caller, who would take it for whole.
 func TestCutAnswerIsVisible(t *testing.T) {
 	c := newCluster(t, 1, 1)
 	c.ready()
@@ -180,8 +184,8 @@
 	}
 }
 
-// TestAnswersMatchRequests: each caller gets the whole answer to its own
-// request under concurrency.
+// TestAnswersMatchRequests guards against mixed-up answers: concurrent callers
+// each get the whole answer to their own request.
 func TestAnswersMatchRequests(t *testing.T) {
 	c := newCluster(t, 4, 2)
 	c.ready()
@@ -203,8 +207,9 @@
 	wg.Wait()
 }
 
-// TestPlannedStopCutsNothing: while entries are replaced one by one under load,
-// each request gets its whole answer or is told that it was not run.
+// TestPlannedStopCutsNothing guards against requests that a planned stop cuts
+// off: while entries are replaced one by one under load, each request gets its
+// whole answer, or the answer that it was not run.
 func TestPlannedStopCutsNothing(t *testing.T) {
 	c := newCluster(t, 4, 3)
 	c.ready()
@@ -244,14 +249,14 @@
 			target.Store(next)
 		}()
 		old.drain()
-		eventually(t, "load goes on", func() bool { return answered.Load() > before+20 })
+		eventually(t, "requests are answered after the replacement", func() bool { return answered.Load() > before+20 })
 	}
 	close(stopLoad)
 	wg.Wait()
 }
 
-// TestKilledEntryLosesNoTask: tasks that were acknowledged end once, though
-// the owner of their cell is killed.
+// TestKilledEntryLosesNoTask guards against lost and repeated tasks: those
+// acknowledged before the owner of their cell is killed run once and end.
 func TestKilledEntryLosesNoTask(t *testing.T) {
 	c := newCluster(t, 4, 3)
 	c.ready()
@@ -302,7 +307,8 @@
 	return out
 }
 
-// checkRuns: by the workers' books no two runs of a task overlap.
+// checkNoOverlap fails the test if, by the workers' records, two runs of a task
+// overlap.
 func (c *cluster) checkRuns() {
 	c.t.Helper()
 	for _, id := range c.fleet.Books().Overlaps() {
@@ -310,8 +316,9 @@
 	}
 }
 
-// TestUrgentEvictsAndBatchResumes: an urgent task starts while the cells are
-// full of batch; the evicted task resumes where it was and ends once.
+// TestUrgentEvictsAndBatchResumes guards against urgent tasks that wait for
+// batch tasks and against lost progress: an urgent task starts while batch tasks
+// fill the cells, and the evicted task resumes from its progress and ends once.
 func TestUrgentEvictsAndBatchResumes(t *testing.T) {
 	c := newCluster(t, 2, 2)
 	c.ready()
@@ -319,14 +326,14 @@
 	for i := range 8 {
 		batch = append(batch, taskJSON(fmt.Sprint("b", i), "archive", 6000))
 	}
-	// Each cell has one VM with room for four; home cells follow from the ids.
+	// Each cell has one VM with capacity for four; home cells follow from the ids.
 	full := map[string]int{}
 	for _, b := range batch {
 		home := homeCell(c.procs[0].entry.declared.now(), b.ID, labels.Everything())
 		full[home] = min(full[home]+1, 4)
 	}
 	if full["a"] != 4 && full["b"] != 4 {
-		t.Fatalf("no cell gets full: %v", full)
+		t.Fatalf("the tasks fill no cell: %v", full)
 	}
 	body, _ := json.Marshal(batch)
 	c.procs[0].call(http.MethodPost, "/v1/tasks", nil, body)
@@ -341,7 +348,7 @@
 		}
 		return n
 	}
-	eventually(t, "all batch that has room runs", func() bool { return running() == full["a"]+full["b"] })
+	eventually(t, "all batch tasks that fit run", func() bool { return running() == full["a"]+full["b"] })
 	var urgent []Task
 	for i := range 4 {
 		urgent = append(urgent, taskJSON(fmt.Sprint("u", i), "preview", 50))
@@ -362,13 +369,14 @@
 		evictions += st.Evictions
 	}
 	if evictions == 0 {
-		t.Error("nothing was evicted; the test doesn't test")
+		t.Error("nothing was evicted, so the test checks nothing")
 	}
 	c.checkRuns()
 }
 
-// TestLeavingEndpointGetsNothingNew: by the operators' word on every entry, and
-// by the endpoint's own word on the entries that did not hear it.
+// TestLeavingEndpointGetsNothingNew guards against new requests to an endpoint
+// that leaves, because operators drain its VM or because it refused a request
+// at one entry, which the other entries learn from their peers.
 func TestLeavingEndpointGetsNothingNew(t *testing.T) {
 	c := newCluster(t, 4, 3)
 	c.ready()
@@ -376,20 +384,20 @@
 	if a := c.procs[0].call(http.MethodPost, "/v1/vms/"+vms[0].ID+"/drain", nil, nil); a.code != result.OK {
 		t.Fatalf("drain: %+v", a)
 	}
-	// The other endpoint of the entries' own place, so that it gets requests.
+	// The endpoint on the other VM of the entries' own place, which gets requests.
 	self := vms[2].ID
 	c.fleet.Endpoints[self].SetFaults(standin.EndpointFaults{Leaving: true})
-	quiet := func(p *proc) bool {
+	allRecorded := func(p *proc) bool {
 		leaving := p.entry.view.leavingVMs(p.entry.clock())
 		return leaving[vms[0].ID] && leaving[self]
 	}
-	eventually(t, "all entries know", func() bool {
-		// Only the first entry routes: the others hear of it from their peers.
+	eventually(t, "all entries have a record of both VMs", func() bool {
+		// Only the first entry routes; its peers report the VM to the others.
 		c.procs[0].call(http.MethodGet, "/v1/services/svc/", nil, nil)
-		return quiet(c.procs[0]) && quiet(c.procs[1]) && quiet(c.procs[2])
+		return allRecorded(c.procs[0]) && allRecorded(c.procs[1]) && allRecorded(c.procs[2])
 	})
-	// The tables take over what the view knows right after.
-	eventually(t, "the tables know", func() bool {
+	// The tables are updated from the view shortly after.
+	eventually(t, "the tables exclude both VMs", func() bool {
 		for _, p := range c.procs {
 			if p.entry.services.get("svc").offers(vms[0].ID) || p.entry.services.get("svc").offers(self) {
 				return false
@@ -412,14 +420,15 @@
 	}
 }
 
-// offers reports whether a VM's endpoint may get requests.
+// offers reports whether a VM's endpoint gets new requests.
 func (svc *service) offers(vm string) bool {
 	svc.mu.Lock()
 	defer svc.mu.Unlock()
 	return svc.table.Offers(vm)
 }
 
-// TestBadInput: each mistake gets its number, and nothing breaks.
+// TestBadInput guards against wrong codes for invalid requests, and against
+// invalid changes that take effect.
 func TestBadInput(t *testing.T) {
 	c := newCluster(t, 1, 1)
 	c.ready()
@@ -469,8 +478,8 @@
 	}
 }
 
-// TestRawGarbage: bytes that are no HTTP, and headers over the limit, are
-// refused without harm.
+// TestMalformedHTTP guards against an entry that accepts malformed HTTP or
+// headers over the limit, or fails because of them.
 func TestRawGarbage(t *testing.T) {
 	c := newCluster(t, 1, 1)
 	c.ready()
@@ -494,12 +503,12 @@
 		_ = conn.Close()
 	}
 	if a := c.procs[0].call(http.MethodGet, "/v1/services/svc/", nil, nil); a.status != http.StatusOK {
-		t.Errorf("afterwards: %+v", a)
+		t.Errorf("valid request after the malformed ones: %+v", a)
 	}
 }
 
-// TestSlowCallerIsTimedOut: a caller that stops in the middle of its body gets
-// an answer and holds nothing.
+// TestSlowCallerIsTimedOut guards against a caller that occupies the entry by
+// sending a part of its body only: it gets an answer and nothing stays in flight.
 func TestSlowCallerIsTimedOut(t *testing.T) {
 	c := newCluster(t, 1, 0)
 	c.adjust = func(s *config.Settings) { s.Timing.CallerIdleMS = 200 }
@@ -520,8 +529,8 @@
 	}
 }
 
-// TestOtherFleetParameters: an entry whose settings would break a promise if it
-// owned anything routes, owns nothing and claims nothing.
+// TestFleetParameterMismatch guards against an entry that owns shards with
+// settings that differ from the fleet's: it routes, but owns and claims nothing.
 func TestOtherFleetParameters(t *testing.T) {
 	c := newCluster(t, 2, 1)
 	c.ready()
@@ -530,7 +539,7 @@
 	eventually(t, "the odd entry routes", func() bool {
 		return odd.call(http.MethodGet, "/v1/services/svc/", nil, nil).status == http.StatusOK
 	})
-	eventually(t, "it knows that it differs", odd.entry.mismatch.Load)
+	eventually(t, "the odd entry has recorded the mismatch", odd.entry.mismatch.Load)
 	a := odd.call(http.MethodPost, "/v1/services/svc/", map[string]string{HeaderKey: "k"}, nil)
 	if a.code != result.OwnerUnavailable || c.runsOf("k") != 0 {
 		t.Errorf("claim at the odd entry: %v, %d runs", a.code, c.runsOf("k"))
--- a/entry/front.go
+++ b/entry/front.go
@@ -17,7 +17,7 @@
 	"leverstile.dev/membership"
 )
 
-// maxDocument bounds declarations and task submissions in bytes.
+// maxDocumentBytes bounds declarations and task submissions in bytes.
 const maxDocument = 32 << 20
 
 // callersHandler serves callers and operators; docs/API.md describes the interface.
@@ -69,7 +69,7 @@
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// readAll reads a body of at most maxDocument bytes.
+// readAll reads a body of at most maxDocumentBytes.
 func readAll(w http.ResponseWriter, r *http.Request) ([]byte, *result.Error) {
 	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxDocument))
 	if err != nil {
--- a/entry/harness_test.go
+++ b/entry/harness_test.go
@@ -20,7 +20,7 @@
 	"leverstile.dev/standin"
 )
 
-// patience bounds how long a test waits for what must come; reaching it is a
+// testTimeout bounds how long a test waits for a condition; reaching it is a
 // failure, however slow the machine.
 const patience = 60 * time.Second
 
@@ -48,13 +48,13 @@
 	done        chan error
 }
 
-// cluster is a fleet of stand-ins with some entries in this process, each on
-// sockets of its own.
+// cluster is a fleet of stand-ins with some entries in this process, each with
+// its own listeners.
 type cluster struct {
 	t     *testing.T
 	fleet *standin.Fleet
 	procs []*proc
-	// adjust changes the settings of entries started from now on.
+	// adjust, if set, changes the settings of entries that are started later.
 	adjust func(*config.Settings)
 }
 
@@ -108,7 +108,7 @@
 	return p
 }
 
-// kill ends an entry at once: no handover, its lease runs out.
+// kill ends an entry at once: it hands nothing over, and its lease expires.
 func (p *proc) kill() {
 	p.once.Do(func() {
 		close(p.abort)
@@ -116,7 +116,7 @@
 	})
 }
 
-// drain is a planned stop.
+// drain carries out a planned stop of an entry.
 func (p *proc) drain() {
 	p.once.Do(func() {
 		close(p.stop)
@@ -126,7 +126,7 @@
 	})
 }
 
-// eventually waits until what holds.
+// eventually waits until holds returns true, and fails the test otherwise.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
@@ -169,12 +169,12 @@
 	return p.call(http.MethodPut, "/v1/declarations", map[string]string{"If-Match": strconv.Itoa(base)}, []byte(doc))
 }
 
-// ready applies the declarations and waits until all entries serve and all
+// awaitReady applies the declarations and waits until all entries route and all
 // shards have an owner.
 func (c *cluster) ready() {
 	c.t.Helper()
-	// A store that does not answer in time, as on a busy machine, is told as
-	// "not run"; then the same must be accepted when it is tried again.
+	// If the store does not answer in time, as on a busy machine, the answer
+	// is "not run"; then the same document must be accepted by a retry.
 	eventually(c.t, "the declarations are accepted", func() bool {
 		a := c.procs[0].apply(0, testDeclarations)
 		if a.code != result.StoreUnavailable && (a.code != result.OK || a.status != http.StatusOK) {
@@ -193,7 +193,7 @@
 	})
 }
 
-// owned waits until each shard has exactly one owner.
+// awaitOwners waits until each shard has exactly one owner.
 func (c *cluster) owned() {
 	c.t.Helper()
 	eventually(c.t, "each shard has an owner", func() bool {
--- a/entry/lease.go
+++ b/entry/lease.go
@@ -37,7 +37,7 @@
 	id    int64
 	until time.Duration // clock reading up to which the lease is held for certain
 	dirty bool          // the entry key has to be written
-	// agreed is set when the fleet's parameters equal this entry's. Until then
+	// settingsAgreed is set when the fleet's parameters equal this entry's. Until then
 	// the entry owns nothing.
 	agreed bool
 }
--- a/entry/loop.go
+++ b/entry/loop.go
@@ -27,7 +27,7 @@
 	flush  func()
 }
 
-// loopQueue is the number of events that may wait.
+// maxQueuedEvents is the number of events that may wait.
 const loopQueue = 1024
 
 func newLoop(every time.Duration, tick, flush func()) *loop {
--- a/entry/proxy.go
+++ b/entry/proxy.go
@@ -32,8 +32,8 @@
 	HeaderKey        = "Idempotency-Key"
 )
 
-// maxKeptBodyBytes bounds the part of a claimed request's answer that is kept
-// for repeats.
+// maxKeptBodyBytes bounds the body of a claimed request's answer that is kept
+// for repeats; a larger body isn't kept.
 const keptBody = 4 << 10
 
 // maxKeyBytes bounds an Idempotency-Key.
--- a/entry/services.go
+++ b/entry/services.go
@@ -202,7 +202,7 @@
 	}
 }
 
-// arrive adds a request to the table and returns the channel of its actions.
+// addRequest adds a request to the table and returns the channel of its actions.
 func (svc *service) arrive(r router.Request) <-chan router.Action {
 	svc.mu.Lock()
 	defer svc.mu.Unlock()
@@ -219,7 +219,7 @@
 	svc.deliver(svc.table.Finish(svc.entry.clock(), id, o))
 }
 
-// leave removes a request. If it was assigned to an endpoint meanwhile, the
+// removeRequest removes a request. If it was assigned to an endpoint meanwhile, the
 // endpoint's slot is freed.
 func (svc *service) leave(id uint64) {
 	svc.mu.Lock()
--- a/entry/tasks.go
+++ b/entry/tasks.go
@@ -25,9 +25,9 @@
 const (
 	// taskCallTimeout bounds a call on tasks, including a takeover of the cell.
 	taskCallTimeout = 15 * time.Second
-	// maxTasks bounds one submission.
+	// maxSubmittedTasks bounds one submission.
 	maxTasks = 10_000
-	// maxTaskID bounds a task's id in bytes.
+	// maxTaskIDBytes bounds a task's id.
 	maxTaskID = 200
 	// statusCheckInterval is how often a waiting status call reads the task.
 	watchEvery = 100 * time.Millisecond
--- a/entry/view.go
+++ b/entry/view.go
@@ -10,7 +10,7 @@
 	"leverstile.dev/membership"
 )
 
-// peerStale is the age from which on a peer's last exchange is disregarded.
+// peerStaleAge is the age from which on a peer's last exchange is disregarded.
 const peerStale = 5 * time.Second
 
 // leavingRetention is how long a VM counts as leaving after the last report of it.
--- a/entry/view_test.go
+++ b/entry/view_test.go
@@ -7,8 +7,8 @@
 	peerv1 "leverstile.dev/api/gen/leverstile/peer/v1"
 )
 
-// TestWordOfLeavingEnds: two entries that tell each other of a VM don't keep
-// the word alive beyond its time.
+// TestLeavingReportsExpire guards against a VM that leaves for ever: two entries
+// that report a VM to each other must not renew the report.
 func TestWordOfLeavingEnds(t *testing.T) {
 	a, b := newView(), newView()
 	now := time.Hour
@@ -17,10 +17,10 @@
 		b.heard(now, &peerv1.View{Entry: "a", Leaving: a.toldLeaving(now)})
 		a.heard(now, &peerv1.View{Entry: "b", Leaving: b.toldLeaving(now)})
 		if now < time.Hour+leavingHold && !b.leavingVMs(now)["vm"] {
-			t.Fatal("b has not heard of the VM")
+			t.Fatal("b has no record of the VM")
 		}
 	}
 	if len(a.leavingVMs(now)) > 0 || len(b.leavingVMs(now)) > 0 {
-		t.Error("the VM is leaving for ever")
+		t.Error("the VM still counts as leaving after leavingRetention")
 	}
 }
