--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -74,7 +74,7 @@
 // runsOf counts the runs of a key that the endpoints recorded.
 func (c *cluster) runsOf(key string) int {
 	n := 0
-	for _, b := range c.fleet.Books().Endpoints {
+	for _, b := range c.fleet.Records().Endpoints {
 		n += b.Runs[key]
 	}
 	return n
@@ -121,7 +121,7 @@
 
 func (c *cluster) totalRuns() int {
 	n := 0
-	for _, b := range c.fleet.Books().Endpoints {
+	for _, b := range c.fleet.Records().Endpoints {
 		n += b.Total
 	}
 	return n
@@ -311,7 +311,7 @@
 // overlap.
 func (c *cluster) checkRuns() {
 	c.t.Helper()
-	for _, id := range c.fleet.Books().Overlaps() {
+	for _, id := range c.fleet.Records().Overlaps() {
 		c.t.Errorf("task %s ran in two places", id)
 	}
 }
@@ -339,7 +339,7 @@
 	c.procs[0].call(http.MethodPost, "/v1/tasks", nil, body)
 	running := func() int {
 		n := 0
-		for _, runs := range c.fleet.Books().Runs {
+		for _, runs := range c.fleet.Records().Runs {
 			for _, r := range runs {
 				if r.State == "running" {
 					n++
@@ -406,13 +406,13 @@
 		return true
 	})
 	c.fleet.Endpoints[self].SetFaults(standin.EndpointFaults{})
-	before := c.fleet.Books().Endpoints
+	before := c.fleet.Records().Endpoints
 	for i := range 60 {
 		if a := c.procs[i%3].call(http.MethodGet, "/v1/services/svc/", nil, nil); a.status != http.StatusOK {
 			t.Errorf("%+v", a)
 		}
 	}
-	after := c.fleet.Books().Endpoints
+	after := c.fleet.Records().Endpoints
 	for _, vm := range []string{vms[0].ID, self} {
 		if n := after[vm].Total - before[vm].Total; n != 0 {
 			t.Errorf("leaving VM %s got %d new requests", vm, n)
