--- a/entry/body.go
+++ b/entry/body.go
@@ -28,7 +28,7 @@
 	}
 	x.body = kept
 	if len(kept) > limits.ReplayBytes {
-		x.rest = limited
+		x.bodyRemainder = limited
 	} else {
 		x.size = int64(len(kept))
 	}
@@ -88,12 +88,12 @@
 // if the endpoint streams. For a claimed request a caller that has gone away
 // doesn't end the reading of the answer, as its outcome has to be recorded.
 type flushWriter struct {
-	w    http.ResponseWriter
-	c    *http.ResponseController
-	live bool
-	key  bool
-	idle time.Duration
-	err  error
+	w         http.ResponseWriter
+	c         *http.ResponseController
+	streaming bool
+	claimed   bool
+	idle      time.Duration
+	err       error
 }
 
 // Write implements io.Writer.
@@ -103,12 +103,12 @@
 	}
 	_ = f.c.SetWriteDeadline(time.Now().Add(f.idle))
 	n, err := f.w.Write(b)
-	if err == nil && f.live {
+	if err == nil && f.streaming {
 		err = f.c.Flush()
 	}
 	if err != nil {
 		f.err = err
-		if f.key {
+		if f.claimed {
 			return len(b), nil
 		}
 	}
--- a/entry/cells.go
+++ b/entry/cells.go
@@ -17,7 +17,7 @@
 )
 
 // shardTickInterval is the interval of the ticks of a shard's owner.
-const shardTick = 10 * time.Millisecond
+const shardTickInterval = 10 * time.Millisecond
 
 // cellRunner runs the owner of one cell in this entry: it carries out the
 // owner's commands and passes on the answers.
@@ -30,9 +30,9 @@
 	ctx    context.Context
 
 	// The fields below are only used by the loop.
-	tickets uint64
-	calls   map[uint64]chan cell.Reply
-	rev     *revision
+	lastTicket   uint64
+	pendingCalls map[uint64]chan cell.Reply
+	rev          *revision
 
 	mu        sync.Mutex
 	lastUsage []*peerv1.GroupUsage
@@ -47,10 +47,10 @@
 	model := scheduler.NewInterference(scheduler.DefaultInterferenceParams)
 	planner := scheduler.NewPlanner(scheduler.DefaultLimits, model)
 	c := &cellRunner{
-		entry: e, name: name, calls: map[uint64]chan cell.Reply{}, ctx: context.Background(),
+		entry: e, name: name, pendingCalls: map[uint64]chan cell.Reply{}, ctx: context.Background(),
 		owner: cell.NewOwner(params, e.shardParams(cellShard+name, config.Ms(e.settings.Timing.CommitEveryMS)), planner, model),
 	}
-	c.loop = newLoop(shardTick, func() { c.owner.Tick(e.clock()) }, c.flush)
+	c.loop = newLoop(shardTickInterval, func() { c.owner.Tick(e.clock()) }, c.flush)
 	return c
 }
 
@@ -145,8 +145,8 @@
 		go c.sync(ctx, s)
 	}
 	for _, r := range cmds.Replies {
-		if ch := c.calls[r.Ticket]; ch != nil {
-			delete(c.calls, r.Ticket)
+		if ch := c.pendingCalls[r.Ticket]; ch != nil {
+			delete(c.pendingCalls, r.Ticket)
 			ch <- r // buffered for one
 		}
 	}
@@ -181,9 +181,9 @@
 func (c *cellRunner) call(ctx context.Context, fn func(now time.Duration, ticket uint64)) cell.Reply {
 	ch := make(chan cell.Reply, 1)
 	c.loop.post(ctx, func() {
-		c.tickets++
-		c.calls[c.tickets] = ch
-		fn(c.entry.clock(), c.tickets)
+		c.lastTicket++
+		c.pendingCalls[c.lastTicket] = ch
+		fn(c.entry.clock(), c.lastTicket)
 	})
 	select {
 	case r := <-ch:
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -17,23 +17,23 @@
 // claimRunner runs the owner of one claim shard in this entry. A claim reserves
 // an idempotency key for one request, so that its repeats aren't run again.
 type claimRunner struct {
-	entry   *Entry
-	name    string
-	loop    *loop
-	owner   *claim.Owner
-	status  status
-	ctx     context.Context
-	tickets uint64
-	calls   map[uint64]chan claim.Reply
+	entry        *Entry
+	name         string
+	loop         *loop
+	owner        *claim.Owner
+	status       status
+	ctx          context.Context
+	lastTicket   uint64
+	pendingCalls map[uint64]chan claim.Reply
 }
 
 func newClaimRunner(e *Entry, name string) *claimRunner {
 	params := claim.DefaultParams(name, e.settings.ID, config.Ms(e.settings.Timing.ClaimRetainMS))
 	c := &claimRunner{
-		entry: e, name: name, calls: map[uint64]chan claim.Reply{}, ctx: context.Background(),
+		entry: e, name: name, pendingCalls: map[uint64]chan claim.Reply{}, ctx: context.Background(),
 		owner: claim.NewOwner(params, e.shardParams(name, config.Ms(e.settings.Timing.ClaimCommitEveryMS))),
 	}
-	c.loop = newLoop(shardTick, func() { c.owner.Tick(e.clock(), time.Now()) }, c.flush)
+	c.loop = newLoop(shardTickInterval, func() { c.owner.Tick(e.clock(), time.Now()) }, c.flush)
 	return c
 }
 
@@ -58,8 +58,8 @@
 		}()
 	}
 	for _, r := range replies {
-		if ch := c.calls[r.Ticket]; ch != nil {
-			delete(c.calls, r.Ticket)
+		if ch := c.pendingCalls[r.Ticket]; ch != nil {
+			delete(c.pendingCalls, r.Ticket)
 			ch <- r // buffered for one
 		}
 	}
@@ -71,9 +71,9 @@
 func (c *claimRunner) call(ctx context.Context, fn func(ticket uint64)) claim.Reply {
 	ch := make(chan claim.Reply, 1)
 	c.loop.post(ctx, func() {
-		c.tickets++
-		c.calls[c.tickets] = ch
-		fn(c.tickets)
+		c.lastTicket++
+		c.pendingCalls[c.lastTicket] = ch
+		fn(c.lastTicket)
 	})
 	select {
 	case r := <-ch:
@@ -102,7 +102,7 @@
 // claimFor asks the owner of a key's shard for the claim. The request may only
 // be sent after a reply with result.OK; without one it was not run.
 func (e *Entry) claimFor(ctx context.Context, service string, r claim.Request) claim.Reply {
-	if e.mismatch.Load() {
+	if e.settingsMismatch.Load() {
 		return claim.Reply{Code: result.OwnerUnavailable, RetryAfter: claimTimeout}
 	}
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
@@ -133,7 +133,7 @@
 	if addr == "" {
 		return claim.Reply{Code: result.OwnerUnavailable}
 	}
-	resp, err := e.peers.at(addr).Claim(ctx, connect.NewRequest(&peerv1.ClaimRequest{
+	resp, err := e.peers.clientFor(addr).Claim(ctx, connect.NewRequest(&peerv1.ClaimRequest{
 		Shard: c.name, Key: r.Key, Holder: r.Holder, RequestId: r.RequestID,
 		Fingerprint: r.Fingerprint, TimeoutMs: r.Timeout.Milliseconds(),
 	}))
@@ -185,7 +185,7 @@
 	if addr == "" {
 		return false
 	}
-	resp, err := e.peers.at(addr).CompleteClaim(ctx, connect.NewRequest(&peerv1.CompleteClaimRequest{
+	resp, err := e.peers.clientFor(addr).CompleteClaim(ctx, connect.NewRequest(&peerv1.CompleteClaimRequest{
 		Shard: c.name, Key: key, RequestId: requestID, Phase: phase, Outcome: out,
 	}))
 	return err == nil && resp.Msg.GetCode() == 0
--- a/entry/declared.go
+++ b/entry/declared.go
@@ -29,12 +29,12 @@
 	headKey        = shard.WatchPrefix + "declarations"
 	documentPrefix = "/leverstile/declarations/"
 	// maxPartBytes bounds a part, so that its base64 stays under the store's 1 MB.
-	partMax = 700_000
+	maxPartBytes = 700_000
 	// minPartBytes and partBoundaryMask end parts at lines that depend on the
 	// text alone, about every 4 KB, so that a change in one place leaves the
 	// other parts as they are (content-defined chunking, Muthitacharoen et al. 2001).
-	partMin  = 2048
-	partMask = 63
+	minPartBytes     = 2048
+	partBoundaryMask = 63
 )
 
 // head describes the accepted declarations. ID is the hash of the document and
@@ -46,7 +46,7 @@
 }
 
 // splitDocument cuts a document into parts.
-func split(doc []byte) [][]byte {
+func splitDocument(doc []byte) [][]byte {
 	var parts [][]byte
 	from := 0
 	for at := 0; at < len(doc); {
@@ -56,13 +56,13 @@
 		}
 		line := doc[at : at+end+1]
 		at += len(line)
-		if size := at - from; size >= partMin && xxhash.Sum64(line)&partMask == 0 || size >= partMax/2 {
+		if size := at - from; size >= minPartBytes && xxhash.Sum64(line)&partBoundaryMask == 0 || size >= maxPartBytes/2 {
 			parts = append(parts, doc[from:at])
 			from = at
 		}
 	}
-	for ; from < len(doc); from += partMax {
-		parts = append(parts, doc[from:min(from+partMax, len(doc))])
+	for ; from < len(doc); from += maxPartBytes {
+		parts = append(parts, doc[from:min(from+maxPartBytes, len(doc))])
 	}
 	return parts
 }
@@ -113,29 +113,29 @@
 // declared holds the newest declarations that this entry has, and fetches newer
 // ones. Invariant: the number of the active revision never decreases.
 type declared struct {
-	store   kv.Store
-	onForce func(*revision)
+	store      kv.Store
+	onActivate func(*revision)
 	// fetched counts the bytes of parts read from the store.
 	fetched *metrics.Counter
 
 	// activateMu is locked before mu and held while onActivate runs.
-	forcing sync.Mutex
-	mu      sync.RWMutex
-	current *revision
-	seen    head // newest head received from the store
-	wake    chan struct{}
+	activateMu sync.Mutex
+	mu         sync.RWMutex
+	current    *revision
+	newestHead head // newest head received from the store
+	wake       chan struct{}
 }
 
 func newDeclared(store kv.Store, set *metrics.Set, onForce func(*revision)) *declared {
 	empty, _ := newRevision(0, []byte("{}")) // "{}" always parses
 	return &declared{
-		store: store, onForce: onForce, current: empty, wake: make(chan struct{}, 1),
+		store: store, onActivate: onForce, current: empty, wake: make(chan struct{}, 1),
 		fetched: set.NewCounter("leverstile_declarations_fetched_bytes_total"),
 	}
 }
 
 // active returns the revision in force at this entry.
-func (d *declared) now() *revision {
+func (d *declared) active() *revision {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return d.current
@@ -144,9 +144,9 @@
 // activate puts a revision into force if it is newer than the current one.
 // Revisions that arrive concurrently are put into force one after the other, so
 // that the older one can't be the last to reach the services.
-func (d *declared) force(r *revision) {
-	d.forcing.Lock()
-	defer d.forcing.Unlock()
+func (d *declared) activate(r *revision) {
+	d.activateMu.Lock()
+	defer d.activateMu.Unlock()
 	d.mu.Lock()
 	newer := r.number > d.current.number
 	if newer {
@@ -154,19 +154,19 @@
 	}
 	d.mu.Unlock()
 	if newer {
-		d.onForce(r)
+		d.onActivate(r)
 	}
 }
 
 // recordHead records a head from the store; run fetches its document.
-func (d *declared) headSeen(p kv.Pair) {
+func (d *declared) recordHead(p kv.Pair) {
 	var h head
 	if json.Unmarshal(p.Value, &h) != nil {
 		return
 	}
 	d.mu.Lock()
-	if h.Revision > d.seen.Revision {
-		d.seen = h
+	if h.Revision > d.newestHead.Revision {
+		d.newestHead = h
 	}
 	d.mu.Unlock()
 	select {
@@ -189,13 +189,13 @@
 		case <-time.After(fetchRetry):
 		}
 		d.mu.RLock()
-		h, cur := d.seen, d.current.number
+		h, cur := d.newestHead, d.current.number
 		d.mu.RUnlock()
 		if h.Revision <= cur {
 			continue
 		}
 		if r, err := d.fetch(ctx, h); err == nil {
-			d.force(r)
+			d.activate(r)
 		}
 	}
 }
@@ -203,7 +203,7 @@
 // fetch reads the parts that the current document doesn't have, in one call.
 func (d *declared) fetch(ctx context.Context, h head) (*revision, error) {
 	have := map[string][]byte{}
-	for _, part := range split(d.now().document) {
+	for _, part := range splitDocument(d.active().document) {
 		have[partName(part)] = part
 	}
 	var missing []string
@@ -258,7 +258,7 @@
 	if err := d.commitHead(ctx, base, h); err != nil {
 		return nil, err
 	}
-	d.force(next)
+	d.activate(next)
 	return next, nil
 }
 
@@ -266,7 +266,7 @@
 // may be deleted right after by the acceptance of another operator's change;
 // that change then makes this one's base outdated, so that this one is refused.
 func (d *declared) writeParts(ctx context.Context, h *head, doc []byte) error {
-	for _, part := range split(doc) {
+	for _, part := range splitDocument(doc) {
 		name := partName(part)
 		h.Parts = append(h.Parts, name)
 		key := documentPrefix + name
@@ -296,7 +296,7 @@
 
 // maxCommitAttempts bounds the attempts of a commit, which is repeated if the
 // store's answer is lost.
-const commitTries = 4
+const maxCommitAttempts = 4
 
 func (d *declared) commitHead(ctx context.Context, base uint64, h head) error {
 	value, err := json.Marshal(h)
@@ -304,9 +304,9 @@
 		return errors.Trace(err)
 	}
 	sent := false
-	for range commitTries {
+	for range maxCommitAttempts {
 		var done bool
-		done, err = d.tryHead(ctx, base, h, value, &sent)
+		done, err = d.tryCommitHead(ctx, base, h, value, &sent)
 		if done {
 			return err
 		}
@@ -323,7 +323,7 @@
 
 // tryCommitHead reads the head and replaces it. If the head already is h, an
 // earlier attempt took effect.
-func (d *declared) tryHead(ctx context.Context, base uint64, h head, value []byte, sent *bool) (bool, error) {
+func (d *declared) tryCommitHead(ctx context.Context, base uint64, h head, value []byte, sent *bool) (bool, error) {
 	res, err := d.store.Do(ctx, kv.Txn{Then: []kv.Op{kv.Get(headKey)}})
 	if err != nil {
 		return false, err
@@ -337,13 +337,13 @@
 			return true, errors.Annotate(err, headKey)
 		}
 		cond = kv.Compare{Key: headKey, ModRevision: p.ModRevision}
-		d.headSeen(p)
+		d.recordHead(p)
 	}
 	if cur.ID == h.ID {
 		return true, nil
 	}
 	if cur.Revision != base {
-		return true, d.conflict(cur.Revision, base, h, *sent)
+		return true, d.conflictError(cur.Revision, base, h, *sent)
 	}
 	then = append(then, staleParts(cur, h)...)
 	*sent = true
@@ -356,7 +356,7 @@
 
 // conflictError reports a lost race. If an earlier attempt of this change may
 // have been accepted and replaced since, the outcome is unknown.
-func (d *declared) conflict(current, base uint64, h head, sent bool) error {
+func (d *declared) conflictError(current, base uint64, h head, sent bool) error {
 	if sent && current > h.Revision {
 		return result.New(result.CommitUnknown, "revision %d may have been accepted; revision %d is in force now", h.Revision, current)
 	}
--- a/entry/declared_test.go
+++ b/entry/declared_test.go
@@ -55,10 +55,10 @@
 // the fetching.
 type declaredNode struct {
 	*declared
-	store *flakyStore
-	mu    sync.Mutex
-	last  uint64
-	fell  bool
+	store    *flakyStore
+	mu       sync.Mutex
+	last     uint64
+	wentBack bool
 }
 
 func newDeclaredNode(store kv.Store, seed uint64) *declaredNode {
@@ -66,16 +66,16 @@
 	n.declared = newDeclared(n.store, metrics.NewSet(), func(r *revision) {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		n.fell = n.fell || r.number <= n.last
+		n.wentBack = n.wentBack || r.number <= n.last
 		n.last = max(n.last, r.number)
 	})
 	return n
 }
 
-func (n *declaredNode) hasFallen() bool {
+func (n *declaredNode) hasGoneBack() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.fell
+	return n.wentBack
 }
 
 func (n *declaredNode) follow(ctx context.Context) {
@@ -83,11 +83,11 @@
 		pairs, rev, err := n.store.Range(ctx, shard.WatchPrefix)
 		if err == nil {
 			for _, p := range pairs {
-				n.headSeen(p)
+				n.recordHead(p)
 			}
 			_ = n.store.Watch(ctx, shard.WatchPrefix, rev, func(_ int64, evs []kv.Event) {
 				for _, ev := range evs {
-					n.headSeen(ev.Pair)
+					n.recordHead(ev.Pair)
 				}
 			})
 		}
@@ -157,10 +157,10 @@
 	time.Sleep(10 * time.Second) // the nodes catch up well within this time
 	final := h.check(t, seed)
 	for i, n := range nodes {
-		if n.hasFallen() {
+		if n.hasGoneBack() {
 			t.Errorf("seed %d: entry %d went back to an older revision", seed, i)
 		}
-		got := n.now()
+		got := n.active()
 		if got.number < final {
 			t.Errorf("seed %d: entry %d has revision %d, %d was accepted", seed, i, got.number, final)
 		}
@@ -185,7 +185,7 @@
 	for j := range 6 {
 		n.setCutAll(rng.IntN(4) == 0)
 		time.Sleep(time.Duration(rng.IntN(900)) * time.Millisecond)
-		base := n.now().number
+		base := n.active().number
 		doc := fmt.Sprintf(`{"groups":[{"name":"g-%d-%d","share":1}]}`, client, j)
 		started := time.Since(h.start)
 		_, err := n.accept(ctx, base, []byte(doc))
@@ -250,12 +250,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		reader.headSeen(pairs[0])
-		r, err := reader.fetch(ctx, reader.seen)
+		reader.recordHead(pairs[0])
+		r, err := reader.fetch(ctx, reader.newestHead)
 		if err != nil {
 			t.Fatal(err)
 		}
-		reader.force(r)
+		reader.activate(r)
 		if string(r.document) != string(doc) {
 			t.Fatal("the reader has a different document")
 		}
@@ -271,8 +271,8 @@
 	if again := int(reader.fetched.Get()) - first; again > 40_000 || again == 0 {
 		t.Errorf("%d bytes read after a change in one place of %d bytes", again, size)
 	}
-	if pairs, _, _ := store.Range(ctx, documentPrefix); len(pairs) != len(reader.seen.Parts) {
-		t.Errorf("%d parts in the store, the head has %d", len(pairs), len(reader.seen.Parts))
+	if pairs, _, _ := store.Range(ctx, documentPrefix); len(pairs) != len(reader.newestHead.Parts) {
+		t.Errorf("%d parts in the store, the head has %d", len(pairs), len(reader.newestHead.Parts))
 	}
 }
 
@@ -284,9 +284,9 @@
 	calls := 0
 	d = newDeclared(standin.NewKVStore(time.Now), metrics.NewSet(), func(*revision) {
 		calls++
-		if d.forcing.TryLock() {
+		if d.activateMu.TryLock() {
 			t.Error("another revision could overtake this one")
-			d.forcing.Unlock()
+			d.activateMu.Unlock()
 		}
 	})
 	for _, number := range []uint64{2, 1, 3} {
@@ -294,9 +294,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.force(r)
+		d.activate(r)
 	}
-	if calls != 2 || d.now().number != 3 {
-		t.Errorf("%d revisions put into force, the last is %d", calls, d.now().number)
+	if calls != 2 || d.active().number != 3 {
+		t.Errorf("%d revisions put into force, the last is %d", calls, d.active().number)
 	}
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -46,15 +46,15 @@
 	services *services
 	shards   *shards
 
-	draining atomic.Bool
-	mismatch atomic.Bool // set by handleFleetMismatch
+	draining         atomic.Bool
+	settingsMismatch atomic.Bool // set by handleFleetMismatch
 	// pendingOutcomes counts outcomes of claimed requests that are not recorded yet.
-	recording sync.WaitGroup
-	replanCh  chan struct{}
-	callers   *http.Server
-	peerSrv   *http.Server
-	callersLn net.Listener
-	peersLn   net.Listener
+	pendingOutcomes sync.WaitGroup
+	replanCh        chan struct{}
+	callerSrv       *http.Server
+	peerSrv         *http.Server
+	callersLn       net.Listener
+	peersLn         net.Listener
 }
 
 // Listen opens the listeners of an entry; port 0 takes any free port.
@@ -93,20 +93,20 @@
 		fleet: fleetParams{
 			ClaimShards: s.Limits.ClaimShards, TaskLeaseMS: s.Timing.TaskLeaseMS, OutageGraceMS: s.Timing.OutageGraceMS,
 		},
-		onMismatch: e.fleetMismatch,
+		onMismatch: e.handleFleetMismatch,
 	}
 	e.peers = newPeerClients(config.Ms(s.Store.TimeoutMS), set)
-	e.declared = newDeclared(e.store, set, e.onForce)
+	e.declared = newDeclared(e.store, set, e.onActivate)
 	e.services = newServices(e)
 	e.shards = newShards(e)
-	e.callers = &http.Server{
+	e.callerSrv = &http.Server{
 		Handler:           e.closeWhileDraining(e.callersHandler()),
 		ReadHeaderTimeout: config.Ms(s.Timing.CallerIdleMS),
 		IdleTimeout:       config.Ms(s.Timing.CallerIdleMS),
 		MaxHeaderBytes:    s.Limits.HeaderBytes,
 	}
 	e.peerSrv = &http.Server{Handler: e.peersHandler(), ReadHeaderTimeout: config.Ms(s.Timing.CallerIdleMS)}
-	set.NewGauge("leverstile_declarations_revision", func() float64 { return float64(e.declared.now().number) })
+	set.NewGauge("leverstile_declarations_revision", func() float64 { return float64(e.declared.active().number) })
 	return e
 }
 
@@ -122,9 +122,9 @@
 	e.addActor(&g, e.exchange)
 	e.addActor(&g, e.services.run)
 	e.addActor(&g, e.shards.run)
-	addServer(&g, e.callers, e.callersLn)
+	addServer(&g, e.callerSrv, e.callersLn)
 	addServer(&g, e.peerSrv, &fleet.CountListener{
-		Listener: e.peersLn, Sent: e.set.GetOrCreateCounter(peerSent), Read: e.set.GetOrCreateCounter(peerRead),
+		Listener: e.peersLn, Sent: e.set.GetOrCreateCounter(peerSentMetric), Read: e.set.GetOrCreateCounter(peerReadMetric),
 	})
 	done := make(chan struct{})
 	g.Add(func() error { return e.awaitStop(stop, abort, done) }, func(error) { close(done) })
@@ -191,10 +191,10 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, config.Ms(e.settings.Timing.DrainTimeoutMS))
 	defer cancel()
-	if err := e.callers.Shutdown(ctx); err != nil {
+	if err := e.callerSrv.Shutdown(ctx); err != nil {
 		e.log.Warn().Int("in_flight", e.services.inFlight()).Msg("drain timed out; requests are cut off")
 	}
-	waitFor(ctx, &e.recording)
+	waitFor(ctx, &e.pendingOutcomes)
 	e.shards.handOver(ctx)
 	e.lease.revoke(ctx)
 	e.log.Info().Msg("drained")
@@ -227,8 +227,8 @@
 }
 
 // handleFleetMismatch records and logs that this entry can't own cells or claims.
-func (e *Entry) fleetMismatch(stored fleetParams) {
-	e.mismatch.Store(true)
+func (e *Entry) handleFleetMismatch(stored fleetParams) {
+	e.settingsMismatch.Store(true)
 	own := e.lease.fleet
 	e.log.Error().Uint32("code", uint32(result.BadSettings)).
 		Int("claim_shards", own.ClaimShards).Int("claim_shards_of_fleet", stored.ClaimShards).
@@ -246,7 +246,7 @@
 }
 
 // onActivate is called with each revision that comes into force.
-func (e *Entry) onForce(r *revision) {
+func (e *Entry) onActivate(r *revision) {
 	e.log.Info().Uint64("revision", r.number).Msg("declarations in force")
 	e.services.setDeclared(r)
 	e.replan()
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -25,8 +25,8 @@
 // is answered with the conflict.
 func TestRacingOperators(t *testing.T) {
 	c := newCluster(t, 2, 3)
-	c.ready()
-	answers := make([]answerOf, 2)
+	c.awaitReady()
+	answers := make([]callerAnswer, 2)
 	var wg sync.WaitGroup
 	for i := range answers {
 		doc := strings.Replace(testDeclarations, `"share": 3`, fmt.Sprintf(`"share": %d`, 10+i), 1)
@@ -42,7 +42,7 @@
 	}
 	eventually(t, "revision 2 everywhere", func() bool {
 		for _, p := range c.procs {
-			if p.entry.declared.now().number != 2 {
+			if p.entry.declared.active().number != 2 {
 				return false
 			}
 		}
@@ -55,7 +55,7 @@
 // routes.
 func TestStartDuringOutage(t *testing.T) {
 	c := newCluster(t, 2, 2)
-	c.ready()
+	c.awaitReady()
 	c.fleet.KV.SetFaults(standin.KVFaults{Down: true})
 	p := c.start("late")
 	eventually(t, "the late entry routes", func() bool {
@@ -85,7 +85,7 @@
 // endpoints drop connections after the run.
 func TestKeyRunsOnce(t *testing.T) {
 	c := newCluster(t, 2, 3)
-	c.ready()
+	c.awaitReady()
 	// Answered requests first, so that kept-alive connections are reused: on
 	// those net/http retries requests with an Idempotency-Key if it can.
 	for _, p := range c.procs {
@@ -132,8 +132,8 @@
 // killed, get the first answer.
 func TestRepeatGetsFirstAnswer(t *testing.T) {
 	c := newCluster(t, 2, 3)
-	c.ready()
-	var first []answerOf
+	c.awaitReady()
+	var first []callerAnswer
 	for i := range 12 {
 		key := map[string]string{HeaderKey: fmt.Sprint("k", i)}
 		a := c.procs[0].call(http.MethodPost, "/v1/services/svc/sale", key, []byte("sale"))
@@ -153,7 +153,7 @@
 	}
 	c.procs[0].kill()
 	c.procs = c.procs[1:]
-	c.owned()
+	c.awaitOwners()
 	for i, want := range first {
 		key := map[string]string{HeaderKey: fmt.Sprint("k", i)}
 		got := c.procs[i%2].call(http.MethodPost, "/v1/services/svc/sale", key, []byte("sale"))
@@ -174,7 +174,7 @@
 // that ends cleanly for the caller, who would take it for whole.
 func TestCutAnswerIsVisible(t *testing.T) {
 	c := newCluster(t, 1, 1)
-	c.ready()
+	c.awaitReady()
 	for _, ep := range c.fleet.Endpoints {
 		ep.SetFaults(standin.EndpointFaults{Cut: true})
 	}
@@ -188,7 +188,7 @@
 // each get the whole answer to their own request.
 func TestAnswersMatchRequests(t *testing.T) {
 	c := newCluster(t, 4, 2)
-	c.ready()
+	c.awaitReady()
 	var wg sync.WaitGroup
 	for i := range 24 {
 		wg.Go(func() {
@@ -212,7 +212,7 @@
 // whole answer, or the answer that it was not run.
 func TestPlannedStopCutsNothing(t *testing.T) {
 	c := newCluster(t, 4, 3)
-	c.ready()
+	c.awaitReady()
 	var target atomic.Pointer[proc]
 	target.Store(c.procs[0])
 	stopLoad := make(chan struct{})
@@ -259,7 +259,7 @@
 // acknowledged before the owner of their cell is killed run once and end.
 func TestKilledEntryLosesNoTask(t *testing.T) {
 	c := newCluster(t, 4, 3)
-	c.ready()
+	c.awaitReady()
 	var tasks []Task
 	for i := range 40 {
 		tasks = append(tasks, taskJSON(fmt.Sprint("t", i), "reconcile", 300))
@@ -293,7 +293,7 @@
 			t.Errorf("task %s ended with %v %s", ans.ID, st.Code, st.Detail)
 		}
 	}
-	c.checkRuns()
+	c.checkNoOverlap()
 }
 
 func (p *proc) ownedCells() []string {
@@ -309,7 +309,7 @@
 
 // checkNoOverlap fails the test if, by the workers' records, two runs of a task
 // overlap.
-func (c *cluster) checkRuns() {
+func (c *cluster) checkNoOverlap() {
 	c.t.Helper()
 	for _, id := range c.fleet.Records().Overlaps() {
 		c.t.Errorf("task %s ran in two places", id)
@@ -321,7 +321,7 @@
 // fill the cells, and the evicted task resumes from its progress and ends once.
 func TestUrgentEvictsAndBatchResumes(t *testing.T) {
 	c := newCluster(t, 2, 2)
-	c.ready()
+	c.awaitReady()
 	var batch []Task
 	for i := range 8 {
 		batch = append(batch, taskJSON(fmt.Sprint("b", i), "archive", 6000))
@@ -329,7 +329,7 @@
 	// Each cell has one VM with capacity for four; home cells follow from the ids.
 	full := map[string]int{}
 	for _, b := range batch {
-		home := homeCell(c.procs[0].entry.declared.now(), b.ID, labels.Everything())
+		home := homeCell(c.procs[0].entry.declared.active(), b.ID, labels.Everything())
 		full[home] = min(full[home]+1, 4)
 	}
 	if full["a"] != 4 && full["b"] != 4 {
@@ -371,7 +371,7 @@
 	if evictions == 0 {
 		t.Error("nothing was evicted, so the test checks nothing")
 	}
-	c.checkRuns()
+	c.checkNoOverlap()
 }
 
 // TestLeavingEndpointGetsNothingNew guards against new requests to an endpoint
@@ -379,7 +379,7 @@
 // at one entry, which the other entries learn from their peers.
 func TestLeavingEndpointGetsNothingNew(t *testing.T) {
 	c := newCluster(t, 4, 3)
-	c.ready()
+	c.awaitReady()
 	vms := c.fleet.VMs()
 	if a := c.procs[0].call(http.MethodPost, "/v1/vms/"+vms[0].ID+"/drain", nil, nil); a.code != result.OK {
 		t.Fatalf("drain: %+v", a)
@@ -431,7 +431,7 @@
 // invalid changes that take effect.
 func TestBadInput(t *testing.T) {
 	c := newCluster(t, 1, 1)
-	c.ready()
+	c.awaitReady()
 	p := c.procs[0]
 	good := taskJSON("x", "reconcile", 1)
 	noGroup := good
@@ -473,16 +473,16 @@
 			t.Errorf("%s: %d %v %s, want %v", tc.name, a.status, a.code, a.body, tc.want)
 		}
 	}
-	if rev := p.entry.declared.now().number; rev != 1 {
+	if rev := p.entry.declared.active().number; rev != 1 {
 		t.Errorf("revision %d after refused changes", rev)
 	}
 }
 
 // TestMalformedHTTP guards against an entry that accepts malformed HTTP or
 // headers over the limit, or fails because of them.
-func TestRawGarbage(t *testing.T) {
+func TestMalformedHTTP(t *testing.T) {
 	c := newCluster(t, 1, 1)
-	c.ready()
+	c.awaitReady()
 	addr := strings.TrimPrefix(c.procs[0].url, "http://")
 	for _, raw := range []string{
 		"\x00\x01\x02\r\n\r\n",
@@ -513,7 +513,7 @@
 	c := newCluster(t, 1, 0)
 	c.adjust = func(s *config.Settings) { s.Timing.CallerIdleMS = 200 }
 	c.start("e0")
-	c.ready()
+	c.awaitReady()
 	conn, err := net.Dial("tcp", strings.TrimPrefix(c.procs[0].url, "http://"))
 	if err != nil {
 		t.Fatal(err)
@@ -531,15 +531,15 @@
 
 // TestFleetParameterMismatch guards against an entry that owns shards with
 // settings that differ from the fleet's: it routes, but owns and claims nothing.
-func TestOtherFleetParameters(t *testing.T) {
+func TestFleetParameterMismatch(t *testing.T) {
 	c := newCluster(t, 2, 1)
-	c.ready()
+	c.awaitReady()
 	c.adjust = func(s *config.Settings) { s.Limits.ClaimShards, s.Timing.OutageGraceMS = 5, 7 }
 	odd := c.start("odd")
 	eventually(t, "the odd entry routes", func() bool {
 		return odd.call(http.MethodGet, "/v1/services/svc/", nil, nil).status == http.StatusOK
 	})
-	eventually(t, "the odd entry has recorded the mismatch", odd.entry.mismatch.Load)
+	eventually(t, "the odd entry has recorded the mismatch", odd.entry.settingsMismatch.Load)
 	a := odd.call(http.MethodPost, "/v1/services/svc/", map[string]string{HeaderKey: "k"}, nil)
 	if a.code != result.OwnerUnavailable || c.runsOf("k") != 0 {
 		t.Errorf("claim at the odd entry: %v, %d runs", a.code, c.runsOf("k"))
--- a/entry/front.go
+++ b/entry/handlers.go
@@ -18,7 +18,7 @@
 )
 
 // maxDocumentBytes bounds declarations and task submissions in bytes.
-const maxDocument = 32 << 20
+const maxDocumentBytes = 32 << 20
 
 // callersHandler serves callers and operators; docs/API.md describes the interface.
 func (e *Entry) callersHandler() http.Handler {
@@ -56,7 +56,7 @@
 	switch {
 	case e.draining.Load():
 		e.refuse(w, result.New(result.EntryDraining, ""))
-	case e.declared.now().number == 0:
+	case e.declared.active().number == 0:
 		e.refuse(w, result.New(result.NoDeclarations, "").After(time.Second))
 	default:
 		_, _ = io.WriteString(w, "ready\n")
@@ -71,7 +71,7 @@
 
 // readAll reads a body of at most maxDocumentBytes.
 func readAll(w http.ResponseWriter, r *http.Request) ([]byte, *result.Error) {
-	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxDocument))
+	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxDocumentBytes))
 	if err != nil {
 		return nil, bodyError(err)
 	}
@@ -79,7 +79,7 @@
 }
 
 // toResultError returns err as an error with a result code.
-func asRefusal(err error) *result.Error {
+func toResultError(err error) *result.Error {
 	var re *result.Error
 	if errors.As(err, &re) {
 		return re
@@ -95,7 +95,7 @@
 }
 
 func (e *Entry) serveGetDeclarations(w http.ResponseWriter, _ *http.Request) {
-	rev := e.declared.now()
+	rev := e.declared.active()
 	w.Header().Set("ETag", etag(rev.number))
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set(HeaderCode, "0")
@@ -116,25 +116,25 @@
 		e.refuse(w, refusal)
 		return
 	}
-	decl, problems := config.ParseDeclarations(filesOf(r, body), e.view.listVMs())
+	decl, problems := config.ParseDeclarations(parseFiles(r, body), e.view.listVMs())
 	if len(problems.Errors()) > 0 {
 		e.replyProblems(w, problems)
 		return
 	}
 	doc, err := decl.Encode()
 	if err != nil {
-		e.refuse(w, asRefusal(err))
+		e.refuse(w, toResultError(err))
 		return
 	}
 	if r.URL.Query().Get("dry_run") != "" {
-		e.reply(w, DeclarationsAnswer{Revision: e.declared.now().number, Problems: problems})
+		e.reply(w, DeclarationsAnswer{Revision: e.declared.active().number, Problems: problems})
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), 10*time.Second)
 	defer cancel()
 	rev, err := e.declared.accept(ctx, base, doc)
 	if err != nil {
-		e.refuse(w, asRefusal(err))
+		e.refuse(w, toResultError(err))
 		return
 	}
 	w.Header().Set("ETag", etag(rev.number))
@@ -152,7 +152,7 @@
 // FilesType is the media type of a FilesBody.
 const FilesType = "application/vnd.leverstile.files+json"
 
-func filesOf(r *http.Request, body []byte) []config.File {
+func parseFiles(r *http.Request, body []byte) []config.File {
 	var fb FilesBody
 	if r.Header.Get("Content-Type") != FilesType || json.Unmarshal(body, &fb) != nil {
 		return []config.File{{Name: "body", Text: body}}
@@ -170,7 +170,7 @@
 	w.Header().Set(HeaderCode, strconv.Itoa(int(info.Code)))
 	w.WriteHeader(info.HTTPStatus)
 	_ = json.NewEncoder(w).Encode(DeclarationsAnswer{
-		Revision: e.declared.now().number, Problems: problems,
+		Revision: e.declared.active().number, Problems: problems,
 		Refusal: &Refusal{Code: info.Code, Name: info.Name, Meaning: info.Meaning, Ran: info.Ran, Repeat: info.Repeatable},
 	})
 }
@@ -191,7 +191,7 @@
 		return
 	}
 	if _, err := e.store.Do(r.Context(), kv.Txn{Then: []kv.Op{op}}); err != nil {
-		e.refuse(w, asRefusal(err))
+		e.refuse(w, toResultError(err))
 		return
 	}
 	e.reply(w, struct {
--- a/entry/harness_test.go
+++ b/entry/harness_test.go
@@ -22,7 +22,7 @@
 
 // testTimeout bounds how long a test waits for a condition; reaching it is a
 // failure, however slow the machine.
-const patience = 60 * time.Second
+const testTimeout = 60 * time.Second
 
 const testDeclarations = `{
   "groups": [
@@ -89,7 +89,7 @@
 	s.Platform.VMList, s.Platform.PollMS = c.fleet.Address, 100
 	s.Timing.ExchangeEveryMS, s.Timing.CommitEveryMS, s.Timing.ClaimCommitEveryMS = 50, 5, 5
 	s.Timing.TaskLeaseMS, s.Timing.OutageGraceMS = 1500, 1000
-	s.Timing.DrainDelayMS, s.Timing.DrainTimeoutMS = 1000, int(patience.Milliseconds())
+	s.Timing.DrainDelayMS, s.Timing.DrainTimeoutMS = 1000, int(testTimeout.Milliseconds())
 	for _, p := range c.procs {
 		s.Peers = append(s.Peers, p.entry.peersLn.Addr().String())
 	}
@@ -129,7 +129,7 @@
 // eventually waits until holds returns true, and fails the test otherwise.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if holds() {
 			return
 		}
@@ -137,7 +137,7 @@
 	t.Fatalf("never came: %s", what)
 }
 
-type answerOf struct {
+type callerAnswer struct {
 	status int
 	code   result.Code
 	header http.Header
@@ -145,33 +145,33 @@
 	err    error
 }
 
-func (p *proc) call(method, path string, header map[string]string, body []byte) answerOf {
+func (p *proc) call(method, path string, header map[string]string, body []byte) callerAnswer {
 	req, err := http.NewRequest(method, p.url+path, bytes.NewReader(body))
 	if err != nil {
-		return answerOf{err: err}
+		return callerAnswer{err: err}
 	}
 	for k, v := range header {
 		req.Header.Set(k, v)
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return answerOf{err: err}
+		return callerAnswer{err: err}
 	}
 	defer resp.Body.Close()
-	a := answerOf{status: resp.StatusCode, header: resp.Header}
+	a := callerAnswer{status: resp.StatusCode, header: resp.Header}
 	a.body, a.err = io.ReadAll(resp.Body)
 	code, _ := strconv.Atoi(resp.Header.Get(HeaderCode))
 	a.code = result.Code(code)
 	return a
 }
 
-func (p *proc) apply(base int, doc string) answerOf {
+func (p *proc) apply(base int, doc string) callerAnswer {
 	return p.call(http.MethodPut, "/v1/declarations", map[string]string{"If-Match": strconv.Itoa(base)}, []byte(doc))
 }
 
 // awaitReady applies the declarations and waits until all entries route and all
 // shards have an owner.
-func (c *cluster) ready() {
+func (c *cluster) awaitReady() {
 	c.t.Helper()
 	// If the store does not answer in time, as on a busy machine, the answer
 	// is "not run"; then the same document must be accepted by a retry.
@@ -182,7 +182,7 @@
 		}
 		return a.code == result.OK
 	})
-	c.owned()
+	c.awaitOwners()
 	eventually(c.t, "every entry routes", func() bool {
 		for _, p := range c.procs {
 			if a := p.call(http.MethodGet, "/v1/services/svc/", nil, nil); a.err != nil || a.status != http.StatusOK {
@@ -194,7 +194,7 @@
 }
 
 // awaitOwners waits until each shard has exactly one owner.
-func (c *cluster) owned() {
+func (c *cluster) awaitOwners() {
 	c.t.Helper()
 	eventually(c.t, "each shard has an owner", func() bool {
 		n := 0
--- a/entry/lease.go
+++ b/entry/lease.go
@@ -32,14 +32,14 @@
 	fleet      fleetParams
 	onMismatch func(stored fleetParams)
 
-	mu    sync.Mutex
-	self  membership.Entry
-	id    int64
-	until time.Duration // clock reading up to which the lease is held for certain
-	dirty bool          // the entry key has to be written
+	mu        sync.Mutex
+	self      membership.Entry
+	id        int64
+	heldUntil time.Duration // clock reading up to which the lease is held for certain
+	dirty     bool          // the entry key has to be written
 	// settingsAgreed is set when the fleet's parameters equal this entry's. Until then
 	// the entry owns nothing.
-	agreed bool
+	settingsAgreed bool
 }
 
 // fleetKey holds the parameters that all entries must share. The first entry
@@ -58,7 +58,7 @@
 func (l *lease) current() (int64, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.id, l.until
+	return l.id, l.heldUntil
 }
 
 // forShards returns the lease under which shards may be owned, or none while this
@@ -66,14 +66,14 @@
 func (l *lease) forShards() (int64, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.agreed {
+	if !l.settingsAgreed {
 		return 0, 0
 	}
-	return l.id, l.until
+	return l.id, l.heldUntil
 }
 
 // isHeld reports whether the lease is held for certain now.
-func (l *lease) holds() bool {
+func (l *lease) isHeld() bool {
 	id, until := l.current()
 	return id != 0 && l.clock() < until
 }
@@ -89,7 +89,7 @@
 func (l *lease) run(ctx context.Context) {
 	for {
 		wait := l.ttl / 4
-		if err := l.keep(ctx); err != nil {
+		if err := l.renew(ctx); err != nil {
 			wait = min(wait, 500*time.Millisecond)
 		}
 		select {
@@ -100,7 +100,7 @@
 	}
 }
 
-func (l *lease) keep(ctx context.Context) error {
+func (l *lease) renew(ctx context.Context) error {
 	id, _ := l.current()
 	sent := l.clock()
 	var err error
@@ -128,7 +128,7 @@
 	if id != l.id {
 		l.dirty = true
 	}
-	l.id, l.until = id, until
+	l.id, l.heldUntil = id, until
 }
 
 // register writes the entry key under the lease if it has changed.
@@ -175,7 +175,7 @@
 		}
 	}
 	l.mu.Lock()
-	l.agreed = stored == l.fleet
+	l.settingsAgreed = stored == l.fleet
 	l.mu.Unlock()
 	if stored != l.fleet {
 		l.onMismatch(stored)
--- a/entry/loop.go
+++ b/entry/loop.go
@@ -28,10 +28,10 @@
 }
 
 // maxQueuedEvents is the number of events that may wait.
-const loopQueue = 1024
+const maxQueuedEvents = 1024
 
 func newLoop(every time.Duration, tick, flush func()) *loop {
-	return &loop{events: make(chan func(), loopQueue), every: every, tick: tick, flush: flush}
+	return &loop{events: make(chan func(), maxQueuedEvents), every: every, tick: tick, flush: flush}
 }
 
 // run serves events until ctx ends.
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -20,20 +20,20 @@
 
 // Counters of the bytes exchanged with peers, as client and as server.
 const (
-	peerSent = "leverstile_peer_sent_bytes_total"
-	peerRead = "leverstile_peer_read_bytes_total"
+	peerSentMetric = "leverstile_peer_sent_bytes_total"
+	peerReadMetric = "leverstile_peer_read_bytes_total"
 )
 
 // peerClients holds the clients that call peers, by address.
 type peerClients struct {
-	http *http.Client
-	mu   sync.Mutex
-	byID map[string]peerv1connect.PeerClient
+	http      *http.Client
+	mu        sync.Mutex
+	byAddress map[string]peerv1connect.PeerClient
 }
 
 func newPeerClients(timeout time.Duration, set *metrics.Set) *peerClients {
-	sent := set.GetOrCreateCounter(peerSent)
-	read := set.GetOrCreateCounter(peerRead)
+	sent := set.GetOrCreateCounter(peerSentMetric)
+	read := set.GetOrCreateCounter(peerReadMetric)
 	dialer := &net.Dialer{Timeout: timeout}
 	transport := &http.Transport{
 		MaxIdleConnsPerHost: 8,
@@ -43,16 +43,16 @@
 			return fleet.CountConn(conn, sent, read), err
 		},
 	}
-	return &peerClients{http: &http.Client{Transport: transport}, byID: map[string]peerv1connect.PeerClient{}}
+	return &peerClients{http: &http.Client{Transport: transport}, byAddress: map[string]peerv1connect.PeerClient{}}
 }
 
-func (p *peerClients) at(address string) peerv1connect.PeerClient {
+func (p *peerClients) clientFor(address string) peerv1connect.PeerClient {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c := p.byID[address]
+	c := p.byAddress[address]
 	if c == nil {
 		c = peerv1connect.NewPeerClient(p.http, "http://"+address)
-		p.byID[address] = c
+		p.byAddress[address] = c
 	}
 	return c
 }
@@ -70,7 +70,7 @@
 		}
 		wg.Wait()
 		now := e.clock()
-		e.view.forgetPeers(now)
+		e.view.removeOldPeers(now)
 		e.services.refresh()
 		select {
 		case <-ctx.Done():
@@ -98,7 +98,7 @@
 			add(m.Address)
 		}
 	}
-	if e.view.alone(e.clock()) || e.declared.now().number == 0 {
+	if e.view.hasNoPeers(e.clock()) || e.declared.active().number == 0 {
 		for _, addr := range e.settings.Peers {
 			add(addr)
 		}
@@ -110,28 +110,28 @@
 func (e *Entry) exchangeWith(ctx context.Context, addr string, timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, timeout+time.Second)
 	defer cancel()
-	resp, err := e.peers.at(addr).Exchange(ctx, connect.NewRequest(&peerv1.ExchangeRequest{View: e.ownView()}))
+	resp, err := e.peers.clientFor(addr).Exchange(ctx, connect.NewRequest(&peerv1.ExchangeRequest{View: e.ownView()}))
 	if err != nil {
 		return // the view of a peer that doesn't answer becomes stale
 	}
-	e.heard(resp.Msg.GetView())
-	if resp.Msg.GetView().GetDeclarationsRevision() > e.declared.now().number {
+	e.recordPeerView(resp.Msg.GetView())
+	if resp.Msg.GetView().GetDeclarationsRevision() > e.declared.active().number {
 		e.fetchDeclarations(ctx, addr)
 	}
 }
 
 // recordPeerView stores a peer's view.
-func (e *Entry) heard(v *peerv1.View) {
+func (e *Entry) recordPeerView(v *peerv1.View) {
 	if v.GetEntry() == "" || v.GetEntry() == e.settings.ID {
 		return
 	}
-	if e.view.heard(e.clock(), v) {
+	if e.view.recordPeerView(e.clock(), v) {
 		e.services.refresh()
 	}
 }
 
 func (e *Entry) fetchDeclarations(ctx context.Context, addr string) {
-	resp, err := e.peers.at(addr).GetDeclarations(ctx, connect.NewRequest(&peerv1.GetDeclarationsRequest{}))
+	resp, err := e.peers.clientFor(addr).GetDeclarations(ctx, connect.NewRequest(&peerv1.GetDeclarationsRequest{}))
 	if err != nil {
 		return
 	}
@@ -140,7 +140,7 @@
 		e.log.Error().Err(err).Str("peer", addr).Msg("parsing the declarations of a peer failed")
 		return
 	}
-	e.declared.force(r)
+	e.declared.activate(r)
 }
 
 // ownView returns the view that this entry sends to its peers.
@@ -151,8 +151,8 @@
 		Address:              e.peersLn.Addr().String(),
 		Place:                e.settings.Place,
 		Draining:             e.draining.Load(),
-		DeclarationsRevision: e.declared.now().number,
-		Leaving:              e.view.toldLeaving(now),
+		DeclarationsRevision: e.declared.active().number,
+		Leaving:              e.view.leavingReports(now),
 	}
 	v.Shards, v.Usage = e.shards.summary()
 	return v
--- a/entry/peerserver.go
+++ b/entry/peerserver.go
@@ -26,13 +26,13 @@
 
 // Exchange implements peerv1connect.PeerHandler.
 func (p *peerServer) Exchange(_ context.Context, req *connect.Request[peerv1.ExchangeRequest]) (*connect.Response[peerv1.ExchangeResponse], error) {
-	p.entry.heard(req.Msg.GetView())
+	p.entry.recordPeerView(req.Msg.GetView())
 	return connect.NewResponse(&peerv1.ExchangeResponse{View: p.entry.ownView()}), nil
 }
 
 // GetDeclarations implements peerv1connect.PeerHandler.
 func (p *peerServer) GetDeclarations(context.Context, *connect.Request[peerv1.GetDeclarationsRequest]) (*connect.Response[peerv1.GetDeclarationsResponse], error) {
-	rev := p.entry.declared.now()
+	rev := p.entry.declared.active()
 	return connect.NewResponse(&peerv1.GetDeclarationsResponse{Revision: rev.number, Document: rev.document}), nil
 }
 
--- a/entry/proxy.go
+++ b/entry/proxy.go
@@ -34,28 +34,28 @@
 
 // maxKeptBodyBytes bounds the body of a claimed request's answer that is kept
 // for repeats; a larger body isn't kept.
-const keptBody = 4 << 10
+const maxKeptBodyBytes = 4 << 10
 
 // maxKeyBytes bounds an Idempotency-Key.
-const maxKey = 256
+const maxKeyBytes = 256
 
 // proxyRequest is one caller's request to a service, from its arrival to its
 // answer.
 type proxyRequest struct {
-	svc      *service
-	w        http.ResponseWriter
-	r        *http.Request
-	id       uint64
-	reqID    string
-	group    string
-	class    config.Class
-	deadline time.Duration
-	key      string // set only for requests that need a claim
-	body     []byte
-	rest     io.Reader // the remainder after body, if the whole is too large to keep
-	size     int64
-	path     string
-	rev      uint64
+	svc           *service
+	w             http.ResponseWriter
+	r             *http.Request
+	id            uint64
+	reqID         string
+	group         string
+	class         config.Class
+	deadline      time.Duration
+	key           string // set only for requests that need a claim
+	body          []byte
+	bodyRemainder io.Reader // the remainder after body, if the whole is too large to keep
+	size          int64
+	path          string
+	rev           uint64
 }
 
 // serveService forwards a caller's request to an endpoint of a service.
@@ -74,7 +74,7 @@
 }
 
 func (e *Entry) newProxyRequest(w http.ResponseWriter, r *http.Request, reqID string) (*proxyRequest, *result.Error) {
-	rev := e.declared.now()
+	rev := e.declared.active()
 	name := r.PathValue("service")
 	svc := e.services.get(name)
 	if rev.number == 0 {
@@ -92,7 +92,7 @@
 	if x.path == "" {
 		x.path = "/"
 	}
-	if err := x.bind(rev); err != nil {
+	if err := x.bindGroup(rev); err != nil {
 		return nil, err
 	}
 	if err := x.readDeadline(); err != nil {
@@ -105,7 +105,7 @@
 }
 
 // bindGroup finds the group that the request is accounted to.
-func (x *proxyRequest) bind(rev *revision) *result.Error {
+func (x *proxyRequest) bindGroup(rev *revision) *result.Error {
 	set, err := labels.ConvertSelectorToLabelsMap(x.r.Header.Get(HeaderLabels))
 	if err != nil {
 		return result.New(result.BadRequest, "%s: %v", HeaderLabels, err)
@@ -136,8 +136,8 @@
 
 func (x *proxyRequest) readKey(spec *config.Service) *result.Error {
 	key := x.r.Header.Get(HeaderKey)
-	if len(key) > maxKey {
-		return result.New(result.BadRequest, "%s is longer than %d bytes", HeaderKey, maxKey)
+	if len(key) > maxKeyBytes {
+		return result.New(result.BadRequest, "%s is longer than %d bytes", HeaderKey, maxKeyBytes)
 	}
 	if !spec.IsRepeatable(x.r.Method, x.path) {
 		x.key = key
@@ -161,7 +161,7 @@
 		Key: x.key, Holder: e.settings.ID, RequestID: x.reqID, Fingerprint: x.fingerprint(),
 		Timeout: x.deadline - e.clock(),
 	})
-	x.log("claim", reply.Code, "", 0)
+	x.logDecision("claim", reply.Code, "", 0)
 	if reply.Code == result.OK && reply.Phase == journalv1.ClaimPhase_CLAIM_PHASE_GRANTED {
 		return true
 	}
@@ -172,7 +172,7 @@
 	if reply.Code == result.OwnerUnavailable {
 		// The claim may have been granted although the reply was lost. Nothing
 		// was sent and nothing will be.
-		x.ended(journalv1.ClaimPhase_CLAIM_PHASE_RELEASED, nil)
+		x.recordOutcome(journalv1.ClaimPhase_CLAIM_PHASE_RELEASED, nil)
 	}
 	e.refuse(x.w, result.New(reply.Code, "").After(reply.RetryAfter))
 	return false
@@ -197,11 +197,11 @@
 // route carries out the router's actions until the request has ended.
 func (x *proxyRequest) route() {
 	e := x.svc.entry
-	actions := x.svc.arrive(router.Request{
+	actions := x.svc.addRequest(router.Request{
 		ID: x.id, Group: x.group, Class: routerClass(x.class), Deadline: x.deadline,
-		Repeatable: x.repeatable(), Once: x.once(),
+		Repeatable: x.repeatable(), Once: x.singleAttempt(),
 	})
-	defer x.svc.leave(x.id)
+	defer x.svc.removeRequest(x.id)
 	callerGone := x.r.Context().Done()
 	if x.key != "" {
 		callerGone = nil // the outcome is recorded even if the caller goes away
@@ -209,7 +209,7 @@
 	for {
 		select {
 		case <-callerGone:
-			x.log("gone", result.CallerWentAway, "", 0)
+			x.logDecision("gone", result.CallerWentAway, "", 0)
 			return
 		case a := <-actions:
 			switch a.Kind {
@@ -218,8 +218,8 @@
 					return
 				}
 			case router.Refuse:
-				x.log("refuse", a.Code, "", a.Attempt)
-				x.ended(journalv1.ClaimPhase_CLAIM_PHASE_RELEASED, nil)
+				x.logDecision("refuse", a.Code, "", a.Attempt)
+				x.recordOutcome(journalv1.ClaimPhase_CLAIM_PHASE_RELEASED, nil)
 				e.refuse(x.w, result.New(a.Code, "").After(a.RetryAfter))
 				return
 			case router.Fail:
@@ -227,8 +227,8 @@
 				if e.clock() >= x.deadline {
 					code = result.AttemptTimeout
 				}
-				x.log("fail", code, "", a.Attempt)
-				x.ended(journalv1.ClaimPhase_CLAIM_PHASE_UNKNOWN, nil)
+				x.logDecision("fail", code, "", a.Attempt)
+				x.recordOutcome(journalv1.ClaimPhase_CLAIM_PHASE_UNKNOWN, nil)
 				e.refuse(x.w, result.New(code, ""))
 				return
 			}
@@ -237,13 +237,15 @@
 }
 
 func (x *proxyRequest) repeatable() bool {
-	spec := x.svc.entry.declared.now().services[x.svc.name]
-	return spec != nil && spec.IsRepeatable(x.r.Method, x.path) && x.rest == nil
+	spec := x.svc.entry.declared.active().services[x.svc.name]
+	return spec != nil && spec.IsRepeatable(x.r.Method, x.path) && x.bodyRemainder == nil
 }
 
 // singleAttempt reports whether the request gets only one attempt: it is not
 // repeatable and has no key, or its body can't be sent twice.
-func (x *proxyRequest) once() bool { return x.rest != nil || !x.repeatable() && x.key == "" }
+func (x *proxyRequest) singleAttempt() bool {
+	return x.bodyRemainder != nil || !x.repeatable() && x.key == ""
+}
 
 func routerClass(c config.Class) router.Class {
 	switch c {
@@ -259,18 +261,18 @@
 // recordOutcome records the outcome of a claimed request in the background. The
 // handler must not wait for it, as the connection's next request would wait
 // too. A planned stop does wait.
-func (x *proxyRequest) ended(phase journalv1.ClaimPhase, out *journalv1.ClaimOutcome) {
+func (x *proxyRequest) recordOutcome(phase journalv1.ClaimPhase, out *journalv1.ClaimOutcome) {
 	if x.key == "" {
 		return
 	}
 	e := x.svc.entry
-	e.recording.Go(func() { e.completeClaim(x.svc.name, x.key, x.reqID, phase, out) })
+	e.pendingOutcomes.Go(func() { e.completeClaim(x.svc.name, x.key, x.reqID, phase, out) })
 }
 
 // send makes one attempt. It returns true if the request has ended with it,
 // or false if the router decides on the next action.
 func (x *proxyRequest) send(a router.Action) bool {
-	x.log("send", result.OK, a.Endpoint.ID, a.Attempt)
+	x.logDecision("send", result.OK, a.Endpoint.ID, a.Attempt)
 	base := x.r.Context()
 	if x.key != "" {
 		base = context.WithoutCancel(base)
@@ -281,11 +283,11 @@
 	res := x.svc.transport.attempt(ctx, x.outgoing(a.Endpoint.ID))
 	latency := x.svc.entry.clock() - started
 	if res.kind == router.Leaving {
-		x.svc.entry.noteLeaving(a.Endpoint.VM)
+		x.svc.entry.recordLeavingVM(a.Endpoint.VM)
 	}
 	if res.resp == nil || res.kind == router.Refused || res.kind == router.Leaving {
 		if res.resp != nil {
-			_, _ = io.Copy(io.Discard, io.LimitReader(res.resp.Body, keptBody))
+			_, _ = io.Copy(io.Discard, io.LimitReader(res.resp.Body, maxKeptBodyBytes))
 			_ = res.resp.Body.Close()
 		}
 		if x.r.Context().Err() != nil && x.key == "" {
@@ -295,7 +297,7 @@
 		return res.kind == router.Abandoned
 	}
 	defer res.resp.Body.Close()
-	x.answer(res, started)
+	x.forwardAnswer(res, started)
 	return true
 }
 
@@ -306,12 +308,12 @@
 	u.Path, u.RawPath = "", ""
 	u.Opaque = "//" + address + x.path
 	body := io.Reader(bytes.NewReader(x.body))
-	if x.rest != nil {
-		body = io.MultiReader(body, x.rest)
+	if x.bodyRemainder != nil {
+		body = io.MultiReader(body, x.bodyRemainder)
 	}
 	req := &http.Request{
 		Method: x.r.Method, URL: &u, Host: x.r.Host, Header: http.Header{},
-		Body: onceBody{body}, ContentLength: x.size,
+		Body: unrewindableBody{body}, ContentLength: x.size,
 	}
 	copyHeaders(req.Header, x.r.Header)
 	req.Header.Set(HeaderRequestID, x.reqID)
@@ -321,14 +323,14 @@
 // forwardAnswer copies an endpoint's answer to the caller. If the answer is cut
 // off, it aborts the caller's connection, so that the caller never takes the
 // part for the whole.
-func (x *proxyRequest) answer(res attemptResult, started time.Duration) {
+func (x *proxyRequest) forwardAnswer(res attemptResult, started time.Duration) {
 	h := x.w.Header()
 	copyHeaders(h, res.resp.Header)
 	h.Set(HeaderRequestID, x.reqID)
 	h.Set(HeaderCode, "0")
 	x.w.WriteHeader(res.resp.StatusCode)
-	kept := &bodyCapture{limit: keptBody}
-	out := &flushWriter{w: x.w, c: http.NewResponseController(x.w), live: res.resp.ContentLength < 0, key: x.key != ""}
+	kept := &bodyCapture{limit: maxKeptBodyBytes}
+	out := &flushWriter{w: x.w, c: http.NewResponseController(x.w), streaming: res.resp.ContentLength < 0, claimed: x.key != ""}
 	out.idle = config.Ms(x.svc.entry.settings.Timing.CallerIdleMS)
 	_, err := io.Copy(io.MultiWriter(out, kept), res.resp.Body)
 	_ = out.c.SetWriteDeadline(time.Time{}) // else net/http keeps it for the connection's next answer
@@ -340,11 +342,11 @@
 	}
 	x.svc.finish(x.id, o)
 	if err != nil {
-		x.log("cut", result.AnswerCut, "", 0)
-		x.ended(journalv1.ClaimPhase_CLAIM_PHASE_UNKNOWN, nil)
+		x.logDecision("cut", result.AnswerCut, "", 0)
+		x.recordOutcome(journalv1.ClaimPhase_CLAIM_PHASE_UNKNOWN, nil)
 		panic(http.ErrAbortHandler)
 	}
-	x.ended(journalv1.ClaimPhase_CLAIM_PHASE_DONE, &journalv1.ClaimOutcome{
+	x.recordOutcome(journalv1.ClaimPhase_CLAIM_PHASE_DONE, &journalv1.ClaimOutcome{
 		Status: int32(res.resp.StatusCode), ContentType: res.resp.Header.Get("Content-Type"),
 		Body: kept.buf.Bytes(), BodyDropped: kept.dropped,
 	})
@@ -354,7 +356,7 @@
 }
 
 // logDecision logs a routing decision and counts a refusal.
-func (x *proxyRequest) log(decision string, code result.Code, endpoint string, attempt int) {
+func (x *proxyRequest) logDecision(decision string, code result.Code, endpoint string, attempt int) {
 	e := x.svc.entry
 	e.log.Info().Str("decision", decision).Str("service", x.svc.name).Str("request", x.reqID).
 		Str("group", x.group).Str("class", string(x.class)).Str("endpoint", endpoint).Int("attempt", attempt).
@@ -365,7 +367,7 @@
 }
 
 // recordLeavingVM records that an endpoint refused a request because its VM leaves.
-func (e *Entry) noteLeaving(vm string) {
+func (e *Entry) recordLeavingVM(vm string) {
 	if e.view.markLeaving(e.clock(), vm) {
 		e.log.Info().Str("vm", vm).Msg("endpoint refused a request because it is leaving")
 		e.services.refresh()
--- a/entry/services.go
+++ b/entry/services.go
@@ -36,11 +36,11 @@
 	name      string
 	transport *transport
 
-	mu      sync.Mutex
-	spec    *config.Service
-	vms     labels.Selector
-	table   *router.Table
-	waiting map[uint64]chan router.Action
+	mu             sync.Mutex
+	spec           *config.Service
+	vms            labels.Selector
+	table          *router.Table
+	actionChannels map[uint64]chan router.Action
 }
 
 func newServices(e *Entry) *services {
@@ -88,8 +88,8 @@
 	_, _ = h.Write([]byte(e.settings.ID + name))
 	return &service{
 		entry: e, name: name, transport: newTransport(),
-		table:   router.New(router.Params{Slots: 1, Place: e.settings.Place}, h.Sum64()),
-		waiting: map[uint64]chan router.Action{},
+		table:          router.New(router.Params{Slots: 1, Place: e.settings.Place}, h.Sum64()),
+		actionChannels: map[uint64]chan router.Action{},
 	}
 }
 
@@ -163,11 +163,11 @@
 }
 
 // serviceTickInterval is how often tables with queued requests get the time.
-const serviceTick = 5 * time.Millisecond
+const serviceTickInterval = 5 * time.Millisecond
 
 // run passes the time to all tables that have queued requests.
 func (s *services) run(ctx context.Context) {
-	ticker := time.NewTicker(serviceTick)
+	ticker := time.NewTicker(serviceTickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -196,18 +196,18 @@
 // send blocks, as a request has one action at a time and its channel buffers one.
 func (svc *service) deliver(actions []router.Action) {
 	for _, a := range actions {
-		if ch := svc.waiting[a.Request]; ch != nil {
+		if ch := svc.actionChannels[a.Request]; ch != nil {
 			ch <- a
 		}
 	}
 }
 
 // addRequest adds a request to the table and returns the channel of its actions.
-func (svc *service) arrive(r router.Request) <-chan router.Action {
+func (svc *service) addRequest(r router.Request) <-chan router.Action {
 	svc.mu.Lock()
 	defer svc.mu.Unlock()
 	ch := make(chan router.Action, 1)
-	svc.waiting[r.ID] = ch
+	svc.actionChannels[r.ID] = ch
 	svc.deliver(svc.table.Arrive(svc.entry.clock(), r))
 	return ch
 }
@@ -221,10 +221,10 @@
 
 // removeRequest removes a request. If it was assigned to an endpoint meanwhile, the
 // endpoint's slot is freed.
-func (svc *service) leave(id uint64) {
+func (svc *service) removeRequest(id uint64) {
 	svc.mu.Lock()
 	defer svc.mu.Unlock()
-	delete(svc.waiting, id)
+	delete(svc.actionChannels, id)
 	svc.table.Cancel(id)
 	svc.deliver(svc.table.Finish(svc.entry.clock(), id, router.Outcome{Kind: router.Abandoned}))
 }
--- a/entry/shards.go
+++ b/entry/shards.go
@@ -24,12 +24,12 @@
 type shards struct {
 	entry *Entry
 
-	mu     sync.RWMutex
-	cells  map[string]*cellRunner
-	claims []*claimRunner
-	ctx    context.Context
-	wg     sync.WaitGroup
-	leave  atomic.Bool // set to give up all shards
+	mu         sync.RWMutex
+	cells      map[string]*cellRunner
+	claims     []*claimRunner
+	ctx        context.Context
+	wg         sync.WaitGroup
+	releaseAll atomic.Bool // set to give up all shards
 }
 
 func newShards(e *Entry) *shards {
@@ -54,7 +54,7 @@
 }
 
 // assignInterval is how often the assignment is checked without a change.
-const assignEvery = time.Second
+const assignInterval = time.Second
 
 // run drives all shards until ctx ends.
 func (s *shards) run(ctx context.Context) {
@@ -64,7 +64,7 @@
 	for _, c := range s.claims {
 		s.wg.Go(func() { c.loop.run(ctx) })
 	}
-	ticker := time.NewTicker(assignEvery)
+	ticker := time.NewTicker(assignInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		s.assign(ctx)
@@ -82,7 +82,7 @@
 // usage of other cells.
 func (s *shards) assign(ctx context.Context) {
 	e := s.entry
-	rev := e.declared.now()
+	rev := e.declared.active()
 	now := e.clock()
 	names := make([]string, 0, len(rev.cells)+len(s.claims))
 	for _, c := range rev.cells {
@@ -92,14 +92,14 @@
 	for i := range s.claims {
 		names = append(names, claimName(i))
 	}
-	members := e.view.entries(now, !e.lease.holds())
+	members := e.view.entries(now, !e.lease.isHeld())
 	owners := membership.Assign(names, members)
 	wanted := func(name string) bool {
-		return owners[name] == e.settings.ID && !s.leave.Load() && !e.draining.Load()
+		return owners[name] == e.settings.ID && !s.releaseAll.Load() && !e.draining.Load()
 	}
 	byCell := splitVMs(rev, e.view.listVMs())
 	for name, c := range s.allCells() {
-		c.update(ctx, wanted(cellShard+name), rev, byCell[name], s.elsewhere(name, now))
+		c.update(ctx, wanted(cellShard+name), rev, byCell[name], s.usageElsewhere(name, now))
 	}
 	for i, c := range s.claims {
 		c.update(ctx, wanted(claimName(i)))
@@ -154,7 +154,7 @@
 
 // usageElsewhere returns what each group uses in other cells, by the newest
 // summary of each cell.
-func (s *shards) elsewhere(cell string, now time.Duration) map[string]fleet.Resources {
+func (s *shards) usageElsewhere(cell string, now time.Duration) map[string]fleet.Resources {
 	newest := map[string]*peerv1.GroupUsage{}
 	for _, v := range s.entry.view.peerViews(now) {
 		for _, u := range v.GetUsage() {
@@ -205,7 +205,7 @@
 
 // handOver gives up all shards and waits until that is done or ctx ends.
 func (s *shards) handOver(ctx context.Context) {
-	s.leave.Store(true)
+	s.releaseAll.Store(true)
 	s.entry.replan()
 	for ctx.Err() == nil {
 		owned, _ := s.summary()
--- a/entry/tasks.go
+++ b/entry/tasks.go
@@ -26,11 +26,11 @@
 	// taskCallTimeout bounds a call on tasks, including a takeover of the cell.
 	taskCallTimeout = 15 * time.Second
 	// maxSubmittedTasks bounds one submission.
-	maxTasks = 10_000
+	maxSubmittedTasks = 10_000
 	// maxTaskIDBytes bounds a task's id.
-	maxTaskID = 200
+	maxTaskIDBytes = 200
 	// statusCheckInterval is how often a waiting status call reads the task.
-	watchEvery = 100 * time.Millisecond
+	statusCheckInterval = 100 * time.Millisecond
 )
 
 // Task is a task as callers submit it. RunTimeMS is the run time that the
@@ -103,8 +103,8 @@
 	if err != nil {
 		return nil, result.New(result.BadRequest, "%v", err)
 	}
-	if len(tasks) == 0 || len(tasks) > maxTasks {
-		return nil, result.New(result.BadRequest, "between 1 and %d tasks", maxTasks)
+	if len(tasks) == 0 || len(tasks) > maxSubmittedTasks {
+		return nil, result.New(result.BadRequest, "between 1 and %d tasks", maxSubmittedTasks)
 	}
 	return tasks, nil
 }
@@ -117,35 +117,35 @@
 
 // submitAll submits tasks to their home cells, cell by cell.
 func (e *Entry) submitAll(ctx context.Context, tasks []Task) []TaskAnswer {
-	rev := e.declared.now()
+	rev := e.declared.active()
 	answers := make([]TaskAnswer, len(tasks))
 	byCell := map[string][]*journalv1.TaskSpec{}
 	index := map[string][]int{}
 	for i, t := range tasks {
-		spec, home, refusal := e.prepare(rev, t)
+		spec, home, refusal := e.prepareTask(rev, t)
 		if refusal != nil {
-			answers[i] = answer(t.ID, refusal.Code, refusal.Detail)
+			answers[i] = newTaskAnswer(t.ID, refusal.Code, refusal.Detail)
 			continue
 		}
 		byCell[home] = append(byCell[home], spec)
 		index[home] = append(index[home], i)
 	}
 	for home, specs := range byCell {
-		for n, a := range e.submitTo(ctx, home, specs) {
+		for n, a := range e.submitToCell(ctx, home, specs) {
 			answers[index[home][n]] = a
 		}
 	}
 	return answers
 }
 
-func answer(id string, code result.Code, detail string) TaskAnswer {
+func newTaskAnswer(id string, code result.Code, detail string) TaskAnswer {
 	return TaskAnswer{ID: id, Code: code, Name: result.Lookup(code).Name, Detail: detail}
 }
 
 // prepareTask validates a task, binds it to its group and finds its home cell.
-func (e *Entry) prepare(rev *revision, t Task) (*journalv1.TaskSpec, string, *result.Error) {
-	if t.ID == "" || len(t.ID) > maxTaskID {
-		return nil, "", result.New(result.BadRequest, "a task's id has 1 to %d bytes", maxTaskID)
+func (e *Entry) prepareTask(rev *revision, t Task) (*journalv1.TaskSpec, string, *result.Error) {
+	if t.ID == "" || len(t.ID) > maxTaskIDBytes {
+		return nil, "", result.New(result.BadRequest, "a task's id has 1 to %d bytes", maxTaskIDBytes)
 	}
 	r := t.Request
 	if r.CPUMilli < 0 || r.MemoryMiB < 0 || r.Accelerators < 0 || r.IsZero() {
@@ -195,7 +195,7 @@
 // callOwner retries a call to a cell's owner until it is answered or ctx ends.
 // It calls local if this entry owns the cell, else remote with the owner's
 // address; both return false if the call has to be retried.
-func (e *Entry) atOwner(ctx context.Context, name string, local func(*cellRunner) bool, remote func(addr string) bool) {
+func (e *Entry) callOwner(ctx context.Context, name string, local func(*cellRunner) bool, remote func(addr string) bool) {
 	for ctx.Err() == nil {
 		c := e.shards.cell(name)
 		if c != nil && c.status.ownedTerm() > 0 {
@@ -209,28 +209,28 @@
 	}
 }
 
-func (e *Entry) submitTo(ctx context.Context, home string, specs []*journalv1.TaskSpec) []TaskAnswer {
+func (e *Entry) submitToCell(ctx context.Context, home string, specs []*journalv1.TaskSpec) []TaskAnswer {
 	out := make([]TaskAnswer, len(specs))
 	for i, s := range specs {
-		out[i] = answer(s.GetId(), result.OwnerUnavailable, "cell "+home)
+		out[i] = newTaskAnswer(s.GetId(), result.OwnerUnavailable, "cell "+home)
 	}
 	sent := false
-	e.atOwner(ctx, home, func(c *cellRunner) bool {
+	e.callOwner(ctx, home, func(c *cellRunner) bool {
 		sent = true
 		reply := c.submit(ctx, specs)
-		return fill(out, specs, reply)
+		return applyResults(out, specs, reply)
 	}, func(addr string) bool {
 		sent = true
-		resp, err := e.peers.at(addr).SubmitTasks(ctx, connect.NewRequest(&peerv1.SubmitTasksRequest{Cell: home, Tasks: specs}))
+		resp, err := e.peers.clientFor(addr).SubmitTasks(ctx, connect.NewRequest(&peerv1.SubmitTasksRequest{Cell: home, Tasks: specs}))
 		if err != nil {
 			return false
 		}
-		return fill(out, specs, replyFromProto(resp.Msg))
+		return applyResults(out, specs, replyFromProto(resp.Msg))
 	})
 	if sent && ctx.Err() != nil {
 		for i := range out {
 			if out[i].Code == result.OwnerUnavailable {
-				out[i] = answer(out[i].ID, result.CommitUnknown, "no answer in time; repeat with the same id")
+				out[i] = newTaskAnswer(out[i].ID, result.CommitUnknown, "no answer in time; repeat with the same id")
 			}
 		}
 	}
@@ -247,47 +247,47 @@
 
 // applyResults copies a reply's results to out. It returns false if the call
 // has to be retried, which is safe as submitting is idempotent.
-func fill(out []TaskAnswer, specs []*journalv1.TaskSpec, r cell.Reply) bool {
+func applyResults(out []TaskAnswer, specs []*journalv1.TaskSpec, r cell.Reply) bool {
 	if r.Err != nil {
-		return !again(r.Err.Code) && setAll(out, specs, r.Err)
+		return !isRetryable(r.Err.Code) && setAll(out, specs, r.Err)
 	}
 	if len(r.Results) != len(specs) {
 		return false
 	}
 	for i, t := range r.Results {
-		if again(t.Code) {
+		if isRetryable(t.Code) {
 			return false
 		}
-		out[i] = answer(t.ID, t.Code, t.Detail)
+		out[i] = newTaskAnswer(t.ID, t.Code, t.Detail)
 	}
 	return true
 }
 
-func again(c result.Code) bool {
+func isRetryable(c result.Code) bool {
 	return c == result.OwnerUnavailable || c == result.CommitUnknown
 }
 
 func setAll(out []TaskAnswer, specs []*journalv1.TaskSpec, err *result.Error) bool {
 	for i, s := range specs {
-		out[i] = answer(s.GetId(), err.Code, err.Detail)
+		out[i] = newTaskAnswer(s.GetId(), err.Code, err.Detail)
 	}
 	return true
 }
 
 // queryCell reads tasks from one cell.
-func (e *Entry) query(ctx context.Context, name, id string, sel labels.Selector) ([]*journalv1.TaskState, *result.Error) {
+func (e *Entry) queryCell(ctx context.Context, name, id string, sel labels.Selector) ([]*journalv1.TaskState, *result.Error) {
 	var tasks []*journalv1.TaskState
 	refusal := result.New(result.OwnerUnavailable, "cell %s", name).After(time.Second)
-	e.atOwner(ctx, name, func(c *cellRunner) bool {
+	e.callOwner(ctx, name, func(c *cellRunner) bool {
 		reply := c.get(ctx, id, sel)
-		if reply.Err != nil && again(reply.Err.Code) {
+		if reply.Err != nil && isRetryable(reply.Err.Code) {
 			return false
 		}
 		tasks, refusal = reply.Tasks, reply.Err
 		return true
 	}, func(addr string) bool {
-		resp, err := e.peers.at(addr).GetTasks(ctx, connect.NewRequest(&peerv1.GetTasksRequest{Cell: name, Id: id, Selector: selectorText(sel)}))
-		if err != nil || again(result.Code(resp.Msg.GetCode())) {
+		resp, err := e.peers.clientFor(addr).GetTasks(ctx, connect.NewRequest(&peerv1.GetTasksRequest{Cell: name, Id: id, Selector: selectorText(sel)}))
+		if err != nil || isRetryable(result.Code(resp.Msg.GetCode())) {
 			return false
 		}
 		tasks, refusal = resp.Msg.GetTasks(), nil
@@ -309,8 +309,8 @@
 // findTask searches all cells for a task, its likely home first.
 func (e *Entry) findTask(ctx context.Context, id string) (*journalv1.TaskState, string, *result.Error) {
 	refusal := result.New(result.UnknownTask, "task %s", id)
-	for _, name := range cellsByHome(e.declared.now(), id) {
-		tasks, err := e.query(ctx, name, id, nil)
+	for _, name := range cellsByHome(e.declared.active(), id) {
+		tasks, err := e.queryCell(ctx, name, id, nil)
 		if err == nil && len(tasks) == 1 {
 			return tasks[0], name, nil
 		}
@@ -366,7 +366,7 @@
 			e.reply(w, statusOf(t))
 			return
 		}
-		sleep(r.Context(), watchEvery)
+		sleep(r.Context(), statusCheckInterval)
 	}
 }
 
@@ -380,11 +380,11 @@
 		return
 	}
 	var text string
-	e.atOwner(ctx, name, func(c *cellRunner) bool {
+	e.callOwner(ctx, name, func(c *cellRunner) bool {
 		text = c.explain(ctx, id)
 		return true
 	}, func(addr string) bool {
-		resp, err := e.peers.at(addr).GetTasks(ctx, connect.NewRequest(&peerv1.GetTasksRequest{Cell: name, Id: id, Explain: true}))
+		resp, err := e.peers.clientFor(addr).GetTasks(ctx, connect.NewRequest(&peerv1.GetTasksRequest{Cell: name, Id: id, Explain: true}))
 		if err == nil {
 			text = resp.Msg.GetExplanation()
 		}
@@ -407,10 +407,10 @@
 }
 
 // forEachCell calls fn for each declared cell and returns the first refusal.
-func (e *Entry) inEachCell(r *http.Request, fn func(ctx context.Context, cell string) *result.Error) *result.Error {
+func (e *Entry) forEachCell(r *http.Request, fn func(ctx context.Context, cell string) *result.Error) *result.Error {
 	ctx, cancel := context.WithTimeout(r.Context(), taskCallTimeout)
 	defer cancel()
-	for _, c := range e.declared.now().cells {
+	for _, c := range e.declared.active().cells {
 		if refusal := fn(ctx, c.name); refusal != nil {
 			return refusal
 		}
@@ -422,8 +422,8 @@
 	out := []TaskStatus{}
 	sel, refusal := parseSelector(r)
 	if refusal == nil {
-		refusal = e.inEachCell(r, func(ctx context.Context, cell string) *result.Error {
-			tasks, err := e.query(ctx, cell, "", sel)
+		refusal = e.forEachCell(r, func(ctx context.Context, cell string) *result.Error {
+			tasks, err := e.queryCell(ctx, cell, "", sel)
 			for _, t := range tasks {
 				out = append(out, statusOf(t))
 			}
@@ -447,7 +447,7 @@
 		e.refuse(w, refusal)
 		return
 	}
-	answers, refusal := e.cancelIn(ctx, name, id, nil)
+	answers, refusal := e.cancelInCell(ctx, name, id, nil)
 	if refusal != nil {
 		e.refuse(w, refusal)
 		return
@@ -462,8 +462,8 @@
 	}
 	out := []TaskAnswer{}
 	if refusal == nil {
-		refusal = e.inEachCell(r, func(ctx context.Context, cell string) *result.Error {
-			answers, err := e.cancelIn(ctx, cell, "", sel)
+		refusal = e.forEachCell(r, func(ctx context.Context, cell string) *result.Error {
+			answers, err := e.cancelInCell(ctx, cell, "", sel)
 			out = append(out, answers...)
 			return err
 		})
@@ -476,22 +476,22 @@
 }
 
 // cancelInCell cancels tasks of one cell. Cancelling is idempotent.
-func (e *Entry) cancelIn(ctx context.Context, name, id string, sel labels.Selector) ([]TaskAnswer, *result.Error) {
+func (e *Entry) cancelInCell(ctx context.Context, name, id string, sel labels.Selector) ([]TaskAnswer, *result.Error) {
 	var out []TaskAnswer
 	refusal := result.New(result.CommitUnknown, "cell %s; cancel again", name)
-	e.atOwner(ctx, name, func(c *cellRunner) bool {
+	e.callOwner(ctx, name, func(c *cellRunner) bool {
 		reply := c.cancel(ctx, id, sel)
-		if reply.Err != nil && again(reply.Err.Code) {
+		if reply.Err != nil && isRetryable(reply.Err.Code) {
 			return false
 		}
 		refusal = reply.Err
 		for _, t := range reply.Results {
-			out = append(out, answer(t.ID, t.Code, t.Detail))
+			out = append(out, newTaskAnswer(t.ID, t.Code, t.Detail))
 		}
 		return true
 	}, func(addr string) bool {
-		resp, err := e.peers.at(addr).CancelTasks(ctx, connect.NewRequest(&peerv1.CancelTasksRequest{Cell: name, Id: id, Selector: selectorText(sel)}))
-		if err != nil || again(result.Code(resp.Msg.GetCode())) {
+		resp, err := e.peers.clientFor(addr).CancelTasks(ctx, connect.NewRequest(&peerv1.CancelTasksRequest{Cell: name, Id: id, Selector: selectorText(sel)}))
+		if err != nil || isRetryable(result.Code(resp.Msg.GetCode())) {
 			return false
 		}
 		refusal = nil
@@ -499,7 +499,7 @@
 			refusal = result.New(code, "")
 		}
 		for _, tid := range resp.Msg.GetIds() {
-			out = append(out, answer(tid, result.OK, ""))
+			out = append(out, newTaskAnswer(tid, result.OK, ""))
 		}
 		return true
 	})
--- a/entry/transport.go
+++ b/entry/transport.go
@@ -68,10 +68,10 @@
 // net/http retries a request by itself if the method is safe or an
 // Idempotency-Key is set, and the body is empty or can be rewound. With this
 // body it never does, as the router decides on retries.
-type onceBody struct{ io.Reader }
+type unrewindableBody struct{ io.Reader }
 
 // Close implements io.Closer.
-func (onceBody) Close() error { return nil }
+func (unrewindableBody) Close() error { return nil }
 
 // attemptResult is the start of an endpoint's answer, or the reason for its absence.
 type attemptResult struct {
--- a/entry/view.go
+++ b/entry/view.go
@@ -11,10 +11,10 @@
 )
 
 // peerStaleAge is the age from which on a peer's last exchange is disregarded.
-const peerStale = 5 * time.Second
+const peerStaleAge = 5 * time.Second
 
 // leavingRetention is how long a VM counts as leaving after the last report of it.
-const leavingHold = 10 * time.Minute
+const leavingRetention = 10 * time.Minute
 
 // view is this entry's knowledge of the fleet. Its lock is never held while
 // anything is called.
@@ -59,7 +59,7 @@
 		byID[id] = e
 	}
 	for id, p := range v.peers {
-		if now-p.at > peerStale {
+		if now-p.at > peerStaleAge {
 			continue
 		}
 		e, known := byID[id]
@@ -103,7 +103,7 @@
 	}
 	best, term := "", uint64(0)
 	for id, p := range v.peers {
-		if now-p.at > peerStale {
+		if now-p.at > peerStaleAge {
 			continue
 		}
 		for _, s := range p.view.GetShards() {
@@ -117,7 +117,7 @@
 
 // recordPeerView stores a peer's view. It returns whether the view reports a
 // leaving VM that had no record here.
-func (v *view) heard(now time.Duration, pv *peerv1.View) bool {
+func (v *view) recordPeerView(now time.Duration, pv *peerv1.View) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.peers[pv.GetEntry()] = peerState{pv, now}
@@ -134,13 +134,13 @@
 }
 
 // hasNoPeers reports whether no peer has exchanged views recently.
-func (v *view) alone(now time.Duration) bool { return len(v.peerViews(now)) == 0 }
+func (v *view) hasNoPeers(now time.Duration) bool { return len(v.peerViews(now)) == 0 }
 
-func (v *view) forgetPeers(now time.Duration) {
+func (v *view) removeOldPeers(now time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for id, p := range v.peers {
-		if now-p.at > 10*peerStale {
+		if now-p.at > 10*peerStaleAge {
 			delete(v.peers, id)
 		}
 	}
@@ -164,7 +164,7 @@
 	defer v.mu.Unlock()
 	out := map[string]bool{}
 	for vm, at := range v.leaving {
-		if now-at > leavingHold {
+		if now-at > leavingRetention {
 			delete(v.leaving, vm)
 			continue
 		}
@@ -183,12 +183,12 @@
 
 // leavingReports returns the leaving VMs that are reported to peers, with the
 // age of the last report, so that passing a report on doesn't renew it.
-func (v *view) toldLeaving(now time.Duration) []*peerv1.LeavingVM {
+func (v *view) leavingReports(now time.Duration) []*peerv1.LeavingVM {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	var out []*peerv1.LeavingVM
 	for vm, at := range v.leaving {
-		if now-at < leavingHold {
+		if now-at < leavingRetention {
 			out = append(out, &peerv1.LeavingVM{Vm: vm, AgeMs: uint32((now - at).Milliseconds())})
 		}
 	}
@@ -214,7 +214,7 @@
 	defer v.mu.RUnlock()
 	var out []*peerv1.View
 	for _, p := range v.peers {
-		if now-p.at <= peerStale {
+		if now-p.at <= peerStaleAge {
 			out = append(out, p.view)
 		}
 	}
--- a/entry/view_test.go
+++ b/entry/view_test.go
@@ -9,14 +9,14 @@
 
 // TestLeavingReportsExpire guards against a VM that leaves for ever: two entries
 // that report a VM to each other must not renew the report.
-func TestWordOfLeavingEnds(t *testing.T) {
+func TestLeavingReportsExpire(t *testing.T) {
 	a, b := newView(), newView()
 	now := time.Hour
 	a.markLeaving(now, "vm")
-	for end := now + 2*leavingHold; now < end; now += time.Second {
-		b.heard(now, &peerv1.View{Entry: "a", Leaving: a.toldLeaving(now)})
-		a.heard(now, &peerv1.View{Entry: "b", Leaving: b.toldLeaving(now)})
-		if now < time.Hour+leavingHold && !b.leavingVMs(now)["vm"] {
+	for end := now + 2*leavingRetention; now < end; now += time.Second {
+		b.recordPeerView(now, &peerv1.View{Entry: "a", Leaving: a.leavingReports(now)})
+		a.recordPeerView(now, &peerv1.View{Entry: "b", Leaving: b.leavingReports(now)})
+		if now < time.Hour+leavingRetention && !b.leavingVMs(now)["vm"] {
 			t.Fatal("b has no record of the VM")
 		}
 	}
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -26,10 +26,10 @@
 	for ctx.Err() == nil {
 		pairs, rev, err := e.store.Range(ctx, shard.WatchPrefix)
 		if err == nil {
-			e.takeAll(pairs)
+			e.applySnapshot(pairs)
 			err = e.store.Watch(ctx, shard.WatchPrefix, rev, func(_ int64, events []kv.Event) {
 				for _, ev := range events {
-					e.take(ev)
+					e.applyEvent(ev)
 				}
 				e.replan()
 			})
@@ -45,29 +45,29 @@
 }
 
 // applySnapshot replaces the data from the store by the result of a full read.
-func (e *Entry) takeAll(pairs []kv.Pair) {
+func (e *Entry) applySnapshot(pairs []kv.Pair) {
 	e.view.mu.Lock()
 	e.view.registered = map[string]membership.Entry{}
 	e.view.owners = map[string]string{}
 	e.view.drained = map[string]bool{}
 	e.view.mu.Unlock()
 	for _, p := range pairs {
-		e.take(kv.Event{Pair: p})
+		e.applyEvent(kv.Event{Pair: p})
 	}
 	e.replan()
 }
 
 // applyEvent applies one change of a key.
-func (e *Entry) take(ev kv.Event) {
+func (e *Entry) applyEvent(ev kv.Event) {
 	key := ev.Pair.Key
 	if key == headKey {
-		e.declared.headSeen(ev.Pair)
+		e.declared.recordHead(ev.Pair)
 		return
 	}
 	e.view.mu.Lock()
 	defer e.view.mu.Unlock()
 	if id, ok := strings.CutPrefix(key, entryPrefix); ok {
-		takeEntry(e.view.registered, id, ev)
+		applyEntryEvent(e.view.registered, id, ev)
 	}
 	if name, ok := strings.CutPrefix(key, shard.OwnerPrefix); ok {
 		if delete(e.view.owners, name); !ev.Deleted {
@@ -81,7 +81,7 @@
 	}
 }
 
-func takeEntry(entries map[string]membership.Entry, id string, ev kv.Event) {
+func applyEntryEvent(entries map[string]membership.Entry, id string, ev kv.Event) {
 	delete(entries, id)
 	var m membership.Entry
 	if !ev.Deleted && json.Unmarshal(ev.Pair.Value, &m) == nil {
