--- a/cell/attempts.go
+++ b/cell/attempts.go
@@ -9,9 +9,9 @@
 	"leverstile.dev/fleet"
 )
 
-// giveUp ends the attempts on a worker whose task leases have ended or whose
-// VM is gone. Records are only made while this entry may decide; until then
-// the attempts keep counting as running, which is safe.
+// endLostAttempts ends the attempts on a worker whose task leases have ended or
+// whose VM is gone. It does so only while this entry may decide; until then the
+// attempts count as running, which is safe.
 func (o *Owner) giveUp(now time.Duration, w *worker, gone bool) {
 	if !o.mayDecide(now) {
 		return
@@ -27,8 +27,8 @@
 	}
 }
 
-// attemptLost ends an attempt that may have run for a while and surely runs no
-// more.
+// attemptLost ends an attempt that may have run for a while and can't be running
+// any more.
 func (o *Owner) attemptLost(now time.Duration, t *task, why string) {
 	o.counters.Lost++
 	switch {
@@ -108,7 +108,7 @@
 	case t.spec.GetNotRepeatable():
 		o.finish(now, t, result.TaskFailed, r.Detail)
 	case blamed:
-		o.endAttempt(now, t, journalv1.EndReason_END_REASON_WORKER_LOST, nil, "failed on a worker that fails everything")
+		o.endAttempt(now, t, journalv1.EndReason_END_REASON_WORKER_LOST, nil, "failed on a quarantined worker")
 	case o.exhausted(t):
 		o.finish(now, t, result.AttemptsExhausted, r.Detail)
 	default:
@@ -116,8 +116,8 @@
 	}
 }
 
-// exhausted reports whether a failure now is a task's last: it has failed on
-// enough different workers, or too often in all.
+// exhausted reports whether a failure now is the task's last allowed one: it has
+// failed on enough different workers, or too often in all.
 func (o *Owner) exhausted(t *task) bool {
 	workers := len(t.failedOn)
 	if !slices.Contains(t.failedOn, t.worker) {
@@ -126,8 +126,9 @@
 	return workers >= o.params.MaxFailures || int(t.failures)+1 >= 2*o.params.MaxFailures
 }
 
-// blame decides whether a failure is the worker's fault rather than the task's:
-// many tasks in a row that had not failed elsewhere, and no success.
+// blameWorker reports whether a failure counts as the worker's rather than the
+// task's: many tasks in a row that had not failed elsewhere failed there, without
+// a success. It puts such a worker into quarantine.
 func (o *Owner) blame(now time.Duration, w *worker, t *task) bool {
 	if t.failures == 0 {
 		w.failuresInRow++
@@ -138,7 +139,7 @@
 	if now >= w.quarantineUntil && o.quarantined(now) < quarantinedPart*float64(len(o.workers)) {
 		w.quarantineFor = min(max(2*w.quarantineFor, firstQuarantine), maxQuarantine)
 		w.quarantineUntil = now + w.quarantineFor
-		o.decide(Decision{What: "quarantine", Worker: w.id, Reason: "fails everything, for " + w.quarantineFor.String()})
+		o.decide(Decision{What: "quarantine", Worker: w.id, Reason: "its tasks fail repeatedly; quarantined for " + w.quarantineFor.String()})
 	}
 	return now < w.quarantineUntil
 }
@@ -153,7 +154,7 @@
 	return n
 }
 
-// succeeded clears the worker's name.
+// recordSuccess ends the count of failures in a row and resets the quarantine time.
 func (w *worker) succeeded() {
 	w.failuresInRow = 0
 	w.quarantineFor = 0
--- a/cell/calls.go
+++ b/cell/calls.go
@@ -13,7 +13,7 @@
 	"leverstile.dev/scheduler"
 )
 
-// refuse returns why nothing can be recorded now, or nil.
+// checkWritable returns why nothing can be recorded now, or nil.
 func (o *Owner) refuse(now time.Duration) *result.Error {
 	if !o.mayDecide(now) {
 		return result.New(result.OwnerUnavailable, "entry %s does not own cell %s", o.params.Self, o.params.Cell).After(time.Second)
@@ -24,8 +24,8 @@
 	return nil
 }
 
-// Submit records tasks. The reply to ticket comes once they are durable. A task
-// submitted again is the same task; nothing happens to it.
+// Submit records tasks. The reply to ticket comes once they are durable. A repeated
+// submission of a task changes nothing.
 func (o *Owner) Submit(now time.Duration, ticket uint64, specs []*journalv1.TaskSpec) {
 	if refusal := o.refuse(now); refusal != nil {
 		o.out.Replies = append(o.out.Replies, Reply{Ticket: ticket, Err: refusal})
@@ -36,8 +36,8 @@
 		code, detail := o.submitOne(now, s)
 		reply.Results = append(reply.Results, TaskResult{ID: s.GetId(), Code: code, Detail: detail})
 	}
-	// A known task's own record may still be waiting for its commit, so the
-	// reply waits for everything.
+	// The record of a task that exists already may still wait for its commit, so
+	// the reply waits for all proposed records.
 	o.answerAfter(o.core.Proposed(), reply)
 }
 
@@ -60,9 +60,9 @@
 	return result.OK, ""
 }
 
-// Cancel ends tasks by id, or all that match a selector. The reply lists what
-// was cancelled, and comes once that is durable. A task that is running is
-// stopped first; one that ends at the same moment keeps its own outcome.
+// Cancel ends the task with an id, or all tasks that match a selector. The reply
+// lists them and comes once the cancellation is durable. A running task is
+// stopped first; one that ends at the same time keeps its own outcome.
 func (o *Owner) Cancel(now time.Duration, ticket uint64, id string, sel labels.Selector) {
 	reply := Reply{Ticket: ticket}
 	if refusal := o.refuse(now); refusal != nil {
@@ -115,8 +115,8 @@
 	return out
 }
 
-// Get replies to ticket with the state of tasks by id or selector, once what
-// it tells is durable.
+// Get replies to ticket with the state of tasks by id or selector, once the
+// reported state is durable.
 func (o *Owner) Get(now time.Duration, ticket uint64, id string, sel labels.Selector) {
 	reply := Reply{Ticket: ticket}
 	if !o.wasOwning || !o.mayRenew(now) {
@@ -136,7 +136,7 @@
 	o.answerAfter(pos, reply)
 }
 
-// Waiting counts the pending tasks of each group that has some.
+// Waiting counts the pending tasks by group. Groups without any are left out.
 func (o *Owner) Waiting() map[string]int {
 	out := map[string]int{}
 	for group, q := range o.table.queues {
@@ -149,7 +149,7 @@
 	return out
 }
 
-// Explain says in one line why a task runs where it does or why it waits.
+// Explain returns one line on why a task runs where it does or why it waits.
 func (o *Owner) Explain(now time.Duration, id string) string {
 	t := o.table.tasks[id]
 	if t == nil {
--- a/cell/learning.go
+++ b/cell/learning.go
@@ -7,8 +7,8 @@
 	"leverstile.dev/scheduler"
 )
 
-// learn takes over a worker's samples. They may be old: each is attributed to
-// what ran at the time that it speaks of.
+// applySamples records a worker's samples. They may be old: each is attributed to
+// what ran at the time of its measurement.
 func (o *Owner) learn(now time.Duration, w *worker, reply *fleet.SyncReply) {
 	for _, u := range reply.Usage {
 		o.sizes.Observe(u.Kind, u.Used)
@@ -23,8 +23,8 @@
 	}
 }
 
-// applyLadder takes one step of the ladder that keeps a service's tail: throttle,
-// then evict, the kind that slows it down most.
+// applyLadder takes one step of the ladder that protects a service's tail latency:
+// throttle, then evict, the kind that slows it down most.
 func (o *Owner) applyLadder(now time.Duration, w *worker, s fleet.Slowdown) {
 	if o.model == nil || !o.mayDecide(now) {
 		return
@@ -42,9 +42,9 @@
 	}
 }
 
-// recordKinds notes what runs on the worker from now on. Throttled tasks are
-// left out: they are held to hardly disturb anybody, and counting them in full
-// would teach the model that their kind is harmless.
+// recordKinds records what runs on the worker from now on. Throttled tasks are
+// left out: they are assumed to disturb hardly anything, and counting them in full
+// would make the model learn that their kind is harmless.
 func (o *Owner) recordKinds(now time.Duration, w *worker) {
 	kinds := map[string]int{}
 	for _, t := range o.table.onWorker[w.id] {
@@ -82,8 +82,8 @@
 	o.decide(Decision{What: what, Worker: w.id, Reason: "tasks of kind " + w.throttledKind + " beside a service"})
 }
 
-// evictWorst evicts the task of the worst kind that loses least, within the
-// budget.
+// evictWorst evicts, within the budget, the task of the worst kind that loses least
+// work.
 func (o *Owner) evictWorst(now time.Duration, w *worker, s fleet.Slowdown) {
 	if o.budget < budgetBurst/2 {
 		return // the rest is for urgent tasks
--- a/cell/owner.go
+++ b/cell/owner.go
@@ -25,8 +25,7 @@
 	// renewing the leases of running tasks. A new owner waits for it to pass
 	// before it gives up a worker that it can't reach.
 	OutageGrace time.Duration
-	// ClockMargin covers the difference in rate of two machines' clocks over
-	// TaskLease.
+	// RetryEvery is the wait after a call to a worker that got no answer.
 	ClockMargin time.Duration
 	// HeartbeatEvery is how long a worker may hold its answer when idle.
 	HeartbeatEvery time.Duration
@@ -35,22 +34,22 @@
 	// StoreSilence is how long a commit may go unanswered before submissions
 	// are refused.
 	StoreSilence time.Duration
-	// MaxFailures on different workers make a task fail for good, or twice as
-	// many in all.
+	// MaxFailures is the number of different workers on which a task must fail to
+	// fail for good. Twice as many failures in all have the same effect.
 	MaxFailures int
-	// Retain is how long a finished task is known.
+	// Retain is how long a finished task is kept.
 	Retain time.Duration
 	// EvictionsPerMinute is the eviction budget.
 	EvictionsPerMinute float64
 	// PlanEvery is the least time between two plans.
 	PlanEvery time.Duration
-	// WorkerCalls bounds the calls to workers under way, so that a takeover or
-	// the end of an outage is no storm.
+	// WorkerCalls bounds the concurrent calls to workers, so that a takeover or
+	// the end of an outage doesn't flood the network.
 	WorkerCalls int
-	// NoSelfFence makes an owner go on after its lease, NoStartCommit tells
-	// workers of starts before they are durable, NoAckCommit lets them forget
-	// ends before those are, NoTakeoverWait gives up workers out of reach at
-	// once. Tests use them to show that the oracle notices.
+	// NoSelfFence makes an owner continue after its lease. NoStartCommit sends
+	// starts to workers before they are durable, NoAckCommit acknowledges ended
+	// attempts before their ends are. NoTakeoverWait gives up unreachable workers
+	// at once. Tests use them to show that the checks of the simulation notice.
 	NoSelfFence, NoStartCommit, NoAckCommit, NoTakeoverWait bool
 }
 
@@ -72,8 +71,8 @@
 	}
 }
 
-// Sync is a call to a worker that the shell must make. Its outcome goes to
-// Owner.WorkerAnswer with the same worker and sequence number.
+// Sync is a call to a worker that the caller of the Owner must make. Its outcome
+// goes to Owner.WorkerAnswer with the same worker and sequence number.
 type Sync struct {
 	Worker  string
 	Address string
@@ -87,7 +86,7 @@
 	Detail string
 }
 
-// Reply answers a call by its ticket, once all that it tells is durable.
+// Reply answers a call by its ticket, once all that it reports is durable.
 type Reply struct {
 	Ticket  uint64
 	Results []TaskResult
@@ -108,23 +107,23 @@
 	Term    uint64
 }
 
-// Commands are what an Owner wants done.
+// Commands are the actions that an Owner requests from its caller.
 type Commands struct {
 	Store     []shard.Op
 	Syncs     []Sync
 	Replies   []Reply
 	Decisions []Decision
-	// Errs are faults of stored state, for the log.
+	// Errs are errors in stored state, for the log.
 	Errs []error
 }
 
-// Counters count what an Owner did since it was made.
+// Counters count what an Owner has done since it was made.
 type Counters struct {
 	Submitted, Started, Finished, Evicted, Lost, Refused uint64
 }
 
-// Owner is the cell at one entry, whether or not this entry owns it now. It
-// isn't safe for concurrent use.
+// Owner decides for the tasks of the cell at one entry, whether or not this entry
+// owns the cell now. It isn't safe for concurrent use.
 type Owner struct {
 	params  Params
 	core    *shard.Core
@@ -138,14 +137,14 @@
 	groups     []scheduler.GroupSpec
 	vms        map[string]fleet.VM
 	vmsKnown   bool
-	largest    fleet.Resources          // the most of each kind that a VM has
-	missing    map[string]time.Duration // since when a VM isn't in the list
+	largest    fleet.Resources          // the largest amount of each resource that a VM has
+	missing    map[string]time.Duration // when a VM was first missing from the list
 	workers    map[string]*worker
 	order      []*worker // workers by id; nil when out of date
 	inFlight   int
 	wasOwning  bool
 	owningFrom time.Duration
-	// leaseEndFloor is until when tasks that a former owner started may run at
+	// minLeaseEnd is until when tasks that a former owner started may run on
 	// workers that have not answered under this term.
 	leaseEndFloor time.Duration
 	dirty         bool // something changed that a new plan could use
@@ -164,7 +163,7 @@
 	reply Reply
 }
 
-// NewOwner returns an Owner that owns nothing yet. planner may use model;
+// NewOwner returns an Owner that doesn't own the cell yet. planner may use model;
 // model learns from the workers' samples.
 func NewOwner(params Params, sp shard.Params, planner scheduler.Scheduler, model *scheduler.Interference) *Owner {
 	o := &Owner{
@@ -195,10 +194,10 @@
 // Core gives access to ownership: SetWanted, SetLease, Phase, Term.
 func (o *Owner) Core() *shard.Core { return o.core }
 
-// Counters returns what was done so far.
+// Counters returns the counts so far.
 func (o *Owner) Counters() Counters { return o.counters }
 
-// Take returns the commands that have come up and forgets them.
+// Take returns the pending commands and clears them.
 func (o *Owner) Take() Commands {
 	c := o.out
 	o.out = Commands{}
@@ -212,8 +211,8 @@
 	o.dirty = true
 }
 
-// SetElsewhere sets what each group holds in other cells, and the capacity of
-// those cells.
+// SetElsewhere sets the resources that each group uses in other cells, and the
+// capacity of those cells.
 func (o *Owner) SetElsewhere(use map[string]fleet.Resources, capacity fleet.Resources) {
 	for _, name := range o.shares.Names() {
 		o.shares.SetElsewhere(name, use[name])
@@ -221,10 +220,10 @@
 	o.shares.SetTotal(o.totalCapacity().Add(capacity))
 }
 
-// InUse returns what each group holds in this cell.
+// InUse returns the resources that each group uses in this cell.
 func (o *Owner) InUse() map[string]fleet.Resources { return o.shares.InUse() }
 
-// Capacity returns what the cell's workers have for tasks.
+// Capacity returns the workers' capacity for tasks.
 func (o *Owner) Capacity() fleet.Resources { return o.totalCapacity() }
 
 func (o *Owner) totalCapacity() fleet.Resources {
@@ -244,7 +243,7 @@
 }
 
 // mayRenew reports whether this entry may renew leases of running tasks. A
-// store outage must not end them, so this goes on for a bounded time after the
+// store outage must not end them, so renewal goes on for a bounded time after the
 // entry's own lease; see Params.OutageGrace.
 func (o *Owner) mayRenew(now time.Duration) bool {
 	if o.core.Phase() != shard.Owning && o.core.Phase() != shard.Releasing {
@@ -271,7 +270,7 @@
 	return pos
 }
 
-// Tick does what is due at now.
+// Tick performs the work that is due at now.
 func (o *Owner) Tick(now time.Duration) {
 	o.out.Store = append(o.out.Store, o.core.Tick(now)...)
 	o.noticeOwnership(now)
@@ -285,7 +284,7 @@
 	o.forget(now)
 }
 
-// StoreAnswer takes the outcome of a store operation.
+// StoreAnswer processes the outcome of a store operation.
 func (o *Owner) StoreAnswer(now time.Duration, a shard.Answer) {
 	if err := o.core.Answer(now, a); err != nil {
 		o.out.Errs = append(o.out.Errs, err)
@@ -293,7 +292,7 @@
 	o.Tick(now)
 }
 
-// noticeOwnership starts and ends a time of ownership.
+// updateOwnership handles the start and the end of this entry's ownership.
 func (o *Owner) noticeOwnership(now time.Duration) {
 	phase := o.core.Phase()
 	owning := phase == shard.Owning || phase == shard.Releasing
@@ -310,8 +309,8 @@
 
 func (o *Owner) gained(now time.Duration) {
 	o.owningFrom = now
-	// A former owner may have renewed until its grace was over, just before
-	// which it may have had a fresh reading of the worker's clock.
+	// A former owner may have renewed leases until the end of its grace period,
+	// just before which it may have had a fresh reading of the worker's clock.
 	o.leaseEndFloor = now + o.params.OutageGrace + o.params.TaskLease + o.params.ClockMargin
 	if o.params.NoTakeoverWait {
 		o.leaseEndFloor = now + o.params.ClockMargin
@@ -330,7 +329,7 @@
 	o.decide(Decision{What: "takeover", Reason: "ownership gained"})
 }
 
-// adopt accounts for a task read from the journal.
+// recoverTask restores the volatile state of a task read from the journal.
 func (o *Owner) adopt(now time.Duration, t *task) {
 	switch t.phase {
 	case Assigned:
@@ -360,7 +359,7 @@
 	o.out.Decisions = append(o.out.Decisions, d)
 }
 
-// onChange keeps room and shares in step with the table.
+// onChange keeps free capacity and shares consistent with the table.
 func (o *Owner) onChange(t *task, from Phase) {
 	switch {
 	case from == Pending && t.phase == Assigned:
@@ -407,7 +406,7 @@
 	o.waiting = append(o.waiting, waitingReply{pos, reply})
 }
 
-// forget drops finished tasks after their retention.
+// removeExpired removes finished tasks after their retention period.
 func (o *Owner) forget(now time.Duration) {
 	if !o.mayDecide(now) {
 		return
--- a/cell/owner_fuzz_test.go
+++ b/cell/owner_fuzz_test.go
@@ -10,18 +10,19 @@
 	"leverstile.dev/standin"
 )
 
-// Fixed seeds, so that each run gives the same verdict; -rapid.seed sets others.
+// The seeds are fixed so that each run gives the same result; -rapid.seed sets others.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
 }
 
-var longRuns = flag.Int("cell.runs", 0, "more runs of the owner's fuzzing, with other seeds")
+var longRuns = flag.Int("cell.runs", 0, "number of additional runs of TestOwnerSeeds, with other seeds")
 
 const simSteps = 120
 
-// TestOwnerPromises: whatever is lost, late, doubled, paused or killed, no VM
-// is over-committed, no task runs in two places, none is lost.
+// TestOwnerPromises checks that, whatever messages are lost, late or duplicated
+// and whatever nodes are paused or killed, no VM is over-committed, no task runs in
+// two places and none is lost.
 func TestOwnerPromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pick := func(label string, n int) int { return rapid.IntRange(0, n-1).Draw(t, label) }
@@ -37,7 +38,7 @@
 	})
 }
 
-// seeded runs one sim from a seed until a promise breaks.
+// runSeed runs one simulation from a seed until an invariant is violated.
 func seeded(seed uint64, m mutation) (*sim, error) {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	m.faults.NoRoomCheck = true
@@ -50,8 +51,8 @@
 	return s, s.finish()
 }
 
-// TestOwnerSeeds runs many more histories than rapid does, by fixed seeds, and
-// shows that they reach the situations they are meant for.
+// TestOwnerSeeds runs many more histories than rapid does, from fixed seeds, and
+// checks that they reach takeovers and evictions.
 func TestOwnerSeeds(t *testing.T) {
 	runs := 300 + *longRuns
 	if testing.Short() {
@@ -69,11 +70,11 @@
 	}
 	t.Logf("%d runs: %d takeovers, %d evictions, %d acknowledged tasks", runs, takeovers, evicted, acked)
 	if takeovers < runs || evicted == 0 || acked < runs {
-		t.Errorf("the histories don't reach what they are meant to test")
+		t.Errorf("the histories contain too few takeovers, evictions or acknowledged tasks")
 	}
 }
 
-// TestMutationsAreFound removes one safeguard at a time; the oracle must notice.
+// TestMutationsAreFound removes one safeguard at a time; the simulation must detect each.
 func TestMutationsAreFound(t *testing.T) {
 	mutations := map[string]mutation{
 		"worker ignores the term":           {faults: standin.WorkerFaults{NoTermCheck: true}},
--- a/cell/owner_test.go
+++ b/cell/owner_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestUnacknowledgedEndsDontSpin: while an end waits for its commit, the worker
-// would answer each idle call at once; the owner must not call it in a loop.
+// TestUncommittedEndsCauseNoCallLoop guards against repeated calls while an end
+// waits for its commit, when the worker would answer each idle call at once.
 func TestUnacknowledgedEndsDontSpin(t *testing.T) {
 	rolls := 0
 	s := newSim(func(_ string, n int) int { rolls++; return rolls % n }, mutation{})
@@ -35,17 +35,17 @@
 			}
 		}
 	}
-	// Three workers, heartbeats of a second, some starts and stops.
+	// Three workers, a heartbeat each second, some starts and stops.
 	if calls > 40 {
 		t.Errorf("%d calls to 3 workers in 2 s without the store", calls)
 	}
 	if len(s.acked) == 0 {
-		t.Error("nothing ran; the test doesn't test")
+		t.Error("no submission was acknowledged, so the test exercised nothing")
 	}
 }
 
-// answerAtOnce delivers a call as a worker does that holds idle calls: not at
-// all while it has no news.
+// answerAtOnce delivers a call as a worker does that holds idle calls: it sends no
+// answer while it has no updates.
 func (s *sim) answerAtOnce(n *node) {
 	c := n.syncs[0]
 	n.syncs = n.syncs[1:]
--- a/cell/planning.go
+++ b/cell/planning.go
@@ -11,15 +11,16 @@
 )
 
 const (
-	// offeredPerGroup is how many waiting tasks of a group a plan looks at.
+	// maxOfferedPerGroup is how many waiting tasks of a group a plan considers.
 	offeredPerGroup = 64
-	// replanEvery makes a plan without any change, as waits grow.
+	// replanInterval is the time after which a plan is made without any change,
+	// as the time that tasks have waited counts.
 	replanEvery = 5 * time.Second
-	// budgetBurst is how many evictions may come at once.
+	// maxEvictionBurst is how many evictions may happen at once.
 	budgetBurst = 16
 )
 
-// plan starts and evicts tasks.
+// plan runs the planner and starts and evicts tasks by its result.
 func (o *Owner) plan(now time.Duration) {
 	o.shares.Advance(now)
 	if !o.mayDecide(now) || now-o.lastPlan < o.params.PlanEvery {
@@ -86,10 +87,10 @@
 	}
 }
 
-// ask is what a task is planned with: its kind's measured size if that is
-// known, else what was declared. After a failure, which too little memory may
-// have caused, it is the larger of both and more with each one, within the
-// largest VM.
+// ask returns the resources that a task is planned with: its kind's measured size
+// if that is known, else the declared request. After a failure, which too little
+// memory may have caused, it is the larger of both, and its memory grows with each
+// failure. It is bounded by the largest VM.
 func (o *Owner) ask(t *task) fleet.Resources {
 	declared := fromProto(t.spec.GetRequest())
 	ask := o.sizes.Ask(t.spec.GetKind(), declared)
@@ -106,7 +107,7 @@
 	return ask
 }
 
-// listRunning fills in what an urgent task could replace.
+// listRunning lists the running tasks that an urgent task could replace.
 func (o *Owner) listRunning(now time.Duration) {
 	for id, w := range o.workers {
 		w.view.Running = w.view.Running[:0]
@@ -121,8 +122,9 @@
 	}
 }
 
-// evictable: a task that is not repeatable is left alone, as is one that has
-// not surely begun, for then there is no telling what a stop would do.
+// evictable reports whether a task may be evicted. A task that is not repeatable
+// is excluded, as is one that isn't known to have started, for the effect of a
+// stop would then be unknown.
 func (o *Owner) evictable(t *task) bool {
 	return t.running && !t.stopping && !t.spec.GetUrgent() && !t.spec.GetNotRepeatable()
 }
@@ -139,9 +141,9 @@
 	}
 }
 
-// startPlaced checks a placement against the table and commits it. The planner
-// took the room already; it is given back first, so that the record's own
-// effect on the accounts is the only one.
+// startPlaced checks a placement against the table and proposes its record. The
+// planner has already reserved the capacity; that is undone first, so that only
+// the record itself changes the accounts.
 func (o *Owner) startPlaced(now time.Duration, pl scheduler.Placement) {
 	o.giveBack(pl)
 	t, w := o.table.tasks[pl.Task.ID], o.workers[pl.Worker.ID]
@@ -178,7 +180,7 @@
 	}
 	o.budget--
 	o.stop(t)
-	reason := "makes room for urgent task " + ev.For
+	reason := "frees capacity for urgent task " + ev.For
 	if ev.For == "" {
 		reason = "slows a service down"
 	}
@@ -205,7 +207,7 @@
 		o.decide(Decision{What: "wait", Task: wt.Task.ID, Attempt: t.attempt, Reason: string(wt.Reason)})
 	}
 	if wt.Reason == scheduler.ReasonFitsNoVM {
-		// Told by its state and code; looked at again when the VMs change.
+		// The task's state and code report it; it is planned again when the VMs change.
 		t.unfit = o.vmsKnown
 		t.code = result.FitsNoVM
 	}
--- a/cell/replay/replay.go
+++ b/cell/replay/replay.go
@@ -1,6 +1,6 @@
-// Package replay plays recorded waves of batch work and faults through a cell's
-// owner and the stand-in workers, in a time of its own, and measures what
-// services, groups and tasks get.
+// Package replay runs recorded traces of batch work and faults through a cell's
+// owner and simulated workers, in simulated time, and measures the effect on
+// services, groups and tasks.
 package replay
 
 import (
@@ -31,7 +31,7 @@
 	Capacity fleet.Resources `json:"capacity"`
 	Reserved fleet.Resources `json:"reserved"`
 	Service  string          `json:"service"`
-	// Load is the service's load at even distances in time over Seconds.
+	// Load is the service's load at evenly spaced times over Seconds.
 	Load    []float64 `json:"load"`
 	Seconds int       `json:"seconds"`
 	// LagS is how late the workers' samples arrive.
@@ -41,7 +41,7 @@
 }
 
 // Kind is a kind of task. Slowdown is what one task of it adds to the slow-down
-// of the service on its VM at full load; the scheduler is not told.
+// of the service on its VM at full load; the scheduler doesn't know it.
 type Kind struct {
 	Name     string          `json:"name"`
 	Group    string          `json:"group"`
@@ -52,7 +52,7 @@
 	Slowdown float64         `json:"slowdown,omitempty"`
 }
 
-// Line is something that happens at AtS.
+// Line is an event of a trace at AtS seconds after its start.
 type Line struct {
 	AtS      int            `json:"at_s"`
 	Submit   map[string]int `json:"submit,omitempty"` // number of tasks by kind
@@ -67,15 +67,15 @@
 	Lines []Line
 }
 
-// Policy is a way to schedule that is compared.
+// Policy is one of the scheduling policies that are compared.
 type Policy struct {
 	Name string
 	New  func(model *scheduler.Interference) scheduler.Scheduler
-	// Ladder: samples lead to throttling and eviction.
+	// Ladder enables throttling and eviction by slow-down samples.
 	Ladder bool
 }
 
-// Policies are those weighed.
+// Policies are the compared policies.
 var Policies = []Policy{
 	{"chosen", func(m *scheduler.Interference) scheduler.Scheduler {
 		return scheduler.NewPlanner(scheduler.DefaultLimits, m)
@@ -86,12 +86,13 @@
 	{"first-fit", func(*scheduler.Interference) scheduler.Scheduler { return scheduler.NewFirstFit() }, false},
 }
 
-// Outcome is what a replay measured.
+// Outcome contains the measurements of a replay.
 type Outcome struct {
 	Policy string
 	// SlowP50, SlowP95 and SlowP99 are over the service's samples on all VMs.
 	SlowP50, SlowP95, SlowP99 float64
-	// CoreHours of finished work, counted as used alone on a VM.
+	// CoreHours counts finished work by the processor time that it uses on an
+	// otherwise empty VM.
 	CoreHours float64
 	Done      int
 	Failed    int
@@ -100,12 +101,12 @@
 	Evictions int
 	// UrgentP99 is the time from submission to start of urgent tasks.
 	UrgentP99 time.Duration
-	// ShareError is the mean distance of a group's part of what is held from
-	// its share, while more than one group has waiting work.
+	// ShareError is the mean difference between a group's part of the used
+	// resources and its share, while more than one group has waiting work.
 	ShareError float64
 	// LastDone is when the last task ended.
 	LastDone time.Duration
-	// Overlaps counts runs that overlap another run of their task.
+	// Overlaps counts runs that overlap an earlier run of their task.
 	Overlaps int
 }
 
@@ -227,7 +228,7 @@
 	return p.trace.Load[i] + (x-float64(i))*(p.trace.Load[j]-p.trace.Load[i])
 }
 
-// slowdown is the truth that the scheduler has to find out.
+// slowdown returns the actual slow-down, which the scheduler has to learn.
 func (p *player) slowdown(kinds map[string]int, at time.Duration) []fleet.Slowdown {
 	load := p.load(at)
 	factor := 1.0
@@ -238,7 +239,7 @@
 	return []fleet.Slowdown{{Service: p.trace.Service, Factor: factor, Load: load}}
 }
 
-// sample has all workers measure, and notes what groups hold.
+// sample makes all workers measure, and records the groups' resource use.
 func (p *player) sample() {
 	for i, w := range p.workers {
 		if !p.gone[i] {
@@ -248,8 +249,8 @@
 	p.sampleShares()
 }
 
-// sampleShares compares what groups hold with their shares while several have
-// more work than room.
+// sampleShares compares the groups' resource use with their shares while several
+// groups have waiting tasks.
 func (p *player) sampleShares() {
 	waiting := p.owner.Waiting()
 	use := p.owner.InUse()
@@ -298,7 +299,7 @@
 	}
 }
 
-// submit sends n tasks of a kind; their run times lie between half and one and
+// submit submits n tasks of a kind; their run times lie between half and one and
 // a half of the kind's.
 func (p *player) submit(k Kind, n int) {
 	var specs []*journalv1.TaskSpec
@@ -319,7 +320,7 @@
 	p.owner.Submit(p.now, p.ticket, specs)
 }
 
-// round delivers all messages of one tick.
+// exchangeMessages delivers all messages of one tick.
 func (p *player) round() error {
 	p.owner.Tick(p.now)
 	p.wakeHeld()
@@ -354,10 +355,10 @@
 			p.sync(s)
 		}
 	}
-	return errors.New("owner and workers call each other without end")
+	return errors.New("owner and workers still exchange calls after the limit of rounds for one tick")
 }
 
-// maxRounds bounds the calls and answers within one tick.
+// maxRounds bounds the rounds of calls and answers within one tick.
 const maxRounds = 200
 
 func (p *player) index(id string) int {
@@ -386,7 +387,7 @@
 	return len(r.Ended)+len(r.Usage)+len(r.Slowdowns) == 0 && r.Refused == ""
 }
 
-// wakeHeld answers calls that workers hold once there is news.
+// answerHeldCalls answers the calls that workers hold once there are updates.
 func (p *player) wakeHeld() {
 	for i, w := range p.workers {
 		s, ok := p.held[w.ID]
@@ -412,7 +413,7 @@
 	p.sumRuns()
 	p.ticket++
 	p.owner.Get(p.now, p.ticket, "", labels.Everything())
-	// The reply waits for the commit of what it tells.
+	// The reply waits for the commit of what it reports.
 	for range 4 {
 		p.now += tick
 		p.err = p.round()
@@ -432,7 +433,8 @@
 	}
 }
 
-// sumRuns reads the workers' books.
+// measureRuns computes finished work, overlaps and start times from the workers'
+// run records.
 func (p *player) sumRuns() {
 	byTask := map[string][]standin.Run{}
 	for _, w := range p.workers {
--- a/cell/replay/traces_test.go
+++ b/cell/replay/traces_test.go
@@ -9,7 +9,7 @@
 	"leverstile.dev/trace"
 )
 
-// Want is the stated outcome of a trace, beside it in testdata.
+// Want contains the bounds for the outcome of a trace, stored beside it in testdata.
 type Want struct {
 	SlowP99Max    float64 `json:"slow_p99_max,omitempty"`
 	CoreHoursMin  float64 `json:"core_hours_min,omitempty"`
@@ -20,15 +20,15 @@
 	UrgentP99MaxS float64 `json:"urgent_p99_max_s,omitempty"`
 	ShareErrorMax float64 `json:"share_error_max,omitempty"`
 	LastDoneMaxS  float64 `json:"last_done_max_s,omitempty"`
-	// SlowBelow: the chosen policy's slow-down p99 is below these policies'.
+	// SlowBelow: the chosen policy's slow-down p99 is below that of these policies.
 	SlowBelow []string `json:"slow_below,omitempty"`
-	// ThroughputAtLeast bounds its finished work by other policies'.
+	// ThroughputAtLeast are lower bounds of its finished work relative to other policies'.
 	ThroughputAtLeast map[string]float64 `json:"throughput_at_least,omitempty"`
 	Why               string             `json:"why"`
 }
 
-// TestTraces replays each trace with each policy against its stated outcome.
-// With -v it prints the table of docs/MEASUREMENTS.md.
+// TestTraces replays each trace with each policy and checks the bounds beside it.
+// With -v it prints the measurements as a table.
 func TestTraces(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.jsonl")
 	if err != nil || len(files) == 0 {
@@ -75,7 +75,7 @@
 	o := outcomes["chosen"]
 	atMost := func(what string, got, most float64) {
 		if most > 0 && got > most {
-			t.Errorf("%s %.3f, stated at most %.3f", what, got, most)
+			t.Errorf("%s is %.3f, want at most %.3f", what, got, most)
 		}
 	}
 	atMost("slow-down p99", o.SlowP99, w.SlowP99Max)
@@ -83,17 +83,17 @@
 	atMost("share error", o.ShareError, w.ShareErrorMax)
 	atMost("last done in s", o.LastDone.Seconds(), w.LastDoneMaxS)
 	if o.CoreHours < w.CoreHoursMin || o.Done < w.DoneMin {
-		t.Errorf("%.1f core hours and %d tasks done, stated %.1f and %d", o.CoreHours, o.Done, w.CoreHoursMin, w.DoneMin)
+		t.Errorf("%.1f core hours and %d tasks done, want at least %.1f and %d", o.CoreHours, o.Done, w.CoreHoursMin, w.DoneMin)
 	}
 	if o.Failed > w.FailedMax || o.Open > w.OpenMax || o.Evictions > w.EvictionsMax {
-		t.Errorf("%d failed, %d open, %d evictions; stated %d, %d, %d", o.Failed, o.Open, o.Evictions, w.FailedMax, w.OpenMax, w.EvictionsMax)
+		t.Errorf("%d failed, %d open, %d evictions; want at most %d, %d, %d", o.Failed, o.Open, o.Evictions, w.FailedMax, w.OpenMax, w.EvictionsMax)
 	}
 	if o.Overlaps > 0 {
-		t.Errorf("%d runs overlap another run of their task", o.Overlaps)
+		t.Errorf("%d runs overlap an earlier run of their task", o.Overlaps)
 	}
 	for _, name := range w.SlowBelow {
 		if other, ok := outcomes[name]; ok && o.SlowP99 >= other.SlowP99 {
-			t.Errorf("slow-down p99 %.2f, %s has %.2f", o.SlowP99, name, other.SlowP99)
+			t.Errorf("slow-down p99 %.2f, %s has %.2f, want less", o.SlowP99, name, other.SlowP99)
 		}
 	}
 	for name, part := range w.ThroughputAtLeast {
@@ -103,7 +103,7 @@
 	}
 }
 
-// load reads a trace and its stated outcome.
+// load reads a trace and the bounds for its outcome.
 func load(t *testing.T, file string) (*Trace, Want) {
 	t.Helper()
 	head, lines, err := trace.ReadFile[Header, Line](file)
--- a/cell/sim_test.go
+++ b/cell/sim_test.go
@@ -18,9 +18,9 @@
 	"leverstile.dev/standin"
 )
 
-// The sim drives several Owners of one cell against the stand-ins by hand:
-// each message is delivered, lost, or kept to arrive late, one at a time. It
-// holds the oracle: what the workers' own books say.
+// The simulation drives several Owners of one cell against simulated stores and
+// workers: each message is delivered, lost or delayed, one at a time. It checks the
+// invariants against the workers' own run records.
 
 // draw picks a number in [0, n).
 type draw func(label string, n int) int
@@ -41,7 +41,7 @@
 	ackEarly    bool
 	startEarly  bool
 	noWait      bool
-	// overBooks: the owner takes each VM for twice as large as it is.
+	// doubleCapacity makes the owner assume twice the capacity of each VM.
 	overBooks bool
 }
 
@@ -49,7 +49,7 @@
 	id    string
 	owner *Owner
 	dead  bool
-	// life counts restarts: answers to a former life are dropped.
+	// incarnation counts restarts: answers to a former incarnation are dropped.
 	life  int
 	skew  time.Duration
 	lease int64
@@ -146,7 +146,7 @@
 	return out
 }
 
-// collect takes a node's commands into its queues and notes replies.
+// collect moves a node's commands into its queues and records replies.
 func (s *sim) collect(n *node) error {
 	cmds := n.owner.Take()
 	n.store = append(n.store, cmds.Store...)
@@ -170,12 +170,12 @@
 		}
 	}
 	for _, err := range cmds.Errs {
-		return errors.Annotate(err, "owner reports a fault of stored state")
+		return errors.Annotate(err, "owner reports an error in stored state")
 	}
 	return nil
 }
 
-// fate of a message.
+// delivery is how a message is delivered.
 type fate int
 
 const (
@@ -188,15 +188,15 @@
 )
 
 func (s *sim) fate() fate {
-	// Most messages arrive, so that runs get somewhere.
+	// Most messages arrive, so that runs make progress.
 	if s.pick("ok", 4) > 0 {
 		return arrives
 	}
 	return fate(s.pick("fate", int(numFates)))
 }
 
-// deliver runs a message with a fate. do executes it at the receiver and
-// returns the answer's delivery; fail tells the sender that none came.
+// deliver sends a message. do executes it at the receiver and returns the
+// answer's delivery; fail reports to the sender that no answer came.
 func (s *sim) deliver(f fate, do func() func(), fail func()) {
 	switch f {
 	case arrives:
@@ -221,12 +221,12 @@
 	}
 	op := n.store[0]
 	n.store = n.store[1:]
-	life := n.life
+	incarnation := n.life
 	if n.storeCut {
 		f = dropped
 	}
 	answer := func(a shard.Answer) {
-		if n.life == life && !n.dead {
+		if n.life == incarnation && !n.dead {
 			n.owner.StoreAnswer(s.clock(n), a)
 		}
 	}
@@ -248,9 +248,9 @@
 	i %= len(n.syncs)
 	c := n.syncs[i]
 	n.syncs = append(n.syncs[:i:i], n.syncs[i+1:]...)
-	life := n.life
+	incarnation := n.life
 	answer := func(r *fleet.SyncReply, err error) {
-		if n.life == life && !n.dead {
+		if n.life == incarnation && !n.dead {
 			n.owner.WorkerAnswer(s.clock(n), c.Worker, c.Request.Term, c.Request.Seq, r, err)
 		}
 	}
@@ -275,7 +275,7 @@
 	return nil
 }
 
-// keepAlive is what the entry's lease actor does.
+// keepAlive renews the node's lease as the entry's lease actor does.
 func (s *sim) keepAlive(n *node, f fate) {
 	if n.storeCut {
 		return
@@ -331,15 +331,15 @@
 
 const simTasks = 14
 
-// step does one drawn action and checks the books.
+// step performs one drawn action and checks the invariants.
 func (s *sim) step() error {
 	s.steps++
 	n := s.nodes[s.pick("node", len(s.nodes))]
 	w := s.workers[s.pick("worker", len(s.workers))]
 	switch a := s.pick("action", 64); {
 	case a < 12:
-		// An orderly while, in which most processes make progress; a node may
-		// be paused meanwhile.
+		// A period in which most processes make progress; a node may be paused
+		// meanwhile.
 		d := time.Duration(100<<s.pick("while", 7)) * time.Millisecond
 		return s.run(d, s.pick("paused", 2*len(s.nodes)))
 	case a < 16:
@@ -392,8 +392,8 @@
 	return n
 }
 
-// episode has what n sends to w arrive late, after something has befallen one
-// of them: the classic ways to run a task in two places.
+// runDelayedCalls makes n's calls to w arrive late, after a fault of one of them:
+// the usual ways in which a task runs in two places.
 func (s *sim) episode(n *node, w *standin.Worker) error {
 	if n.dead {
 		return nil
@@ -425,7 +425,7 @@
 	return err
 }
 
-// befall lets something happen and returns the number of the paused node.
+// injectFault causes one drawn fault and returns the number of the paused node or -1.
 func (s *sim) befall(n *node, w *standin.Worker) int {
 	switch s.pick("event", 6) {
 	case 0: // the owner is paused
@@ -465,7 +465,7 @@
 	fn()
 }
 
-// handOver makes n the only wanted owner, as a new view of the members does.
+// handOver makes n the only wanted owner, as a new membership view does.
 func (s *sim) handOver(n *node) error {
 	if n.dead {
 		return nil
@@ -476,7 +476,7 @@
 	return s.settleStep(n)
 }
 
-// hold has the network keep all that a node has sent, to arrive late.
+// delayAll delays all calls to workers that a node has sent.
 func (s *sim) hold(n *node) {
 	for range len(n.syncs) {
 		s.deliverSync(n, 0, comesLate)
@@ -501,7 +501,7 @@
 		return
 	}
 	n.dead = true
-	// What it sent before may still arrive.
+	// The messages that it sent before may still arrive.
 	for _, c := range n.syncs {
 		s.late = append(s.late, func() {
 			if !s.gone[c.Worker] {
@@ -535,7 +535,7 @@
 	return s.check()
 }
 
-// run lets all nodes but the paused one work in good order for a while.
+// run lets all nodes but the paused one work without faults for the given time.
 func (s *sim) run(d time.Duration, paused int) error {
 	const tick = 100 * time.Millisecond
 	for end := s.now + d; s.now < end; s.now += tick {
@@ -561,7 +561,7 @@
 	return s.check()
 }
 
-// check holds the workers' books against the promises.
+// check checks the workers' run records against the invariants.
 func (s *sim) check() error {
 	byTask := map[string][]standin.Run{}
 	seen := map[fleet.AttemptRef]string{}
@@ -597,17 +597,17 @@
 			return errors.Errorf("task %s is not repeatable and ran again: %+v and %+v", id, prev, r)
 		}
 		if s.specs[id].GetNotRepeatable() && r.Resumed == 0 && prev.Ended > prev.Began {
-			return errors.Errorf("task %s is not repeatable and began anew: %+v and %+v", id, prev, r)
+			return errors.Errorf("task %s is not repeatable and started from scratch: %+v and %+v", id, prev, r)
 		}
 	}
 	return nil
 }
 
-// finish heals everything and checks that each acknowledged task has ended
+// finish removes all faults and checks that each acknowledged task has ended
 // exactly once.
 func (s *sim) finish() error {
 	s.heal()
-	// Long enough for all tasks one after the other on one VM.
+	// The bound suffices for all tasks one after the other on one VM.
 	var err error
 	for range 20 {
 		if err := s.run(goneAfter+simGrace+2*simTaskLease, -1); err != nil {
@@ -628,7 +628,7 @@
 		}
 	}
 	if owner == nil {
-		return errors.New("no owner after everything has healed")
+		return errors.New("no owner after all faults were removed")
 	}
 	for id := range s.acked {
 		if err := s.checkEnd(id, owner.owner.table.tasks[id]); err != nil {
@@ -658,11 +658,11 @@
 	}
 	switch {
 	case t.code == result.OK && finished == 0:
-		return errors.Errorf("task %s is reported done and never finished", id)
+		return errors.Errorf("task %s is reported as succeeded but never finished", id)
 	case t.code == result.TaskCancelled && !s.everCancelled(id):
-		return errors.Errorf("task %s was cancelled by nobody", id)
+		return errors.Errorf("task %s is reported as cancelled but was never cancelled", id)
 	case t.code == result.AttemptsExhausted && failed == 0:
-		return errors.Errorf("task %s is reported failed and never failed", id)
+		return errors.Errorf("task %s is reported as failed but never failed", id)
 	case t.resumes > t.evictions, t.evictions > t.resumes && t.code != result.TaskCancelled:
 		return errors.Errorf("task %s was resumed %d times after %d evictions", id, t.resumes, t.evictions)
 	}
--- a/cell/sync.go
+++ b/cell/sync.go
@@ -7,8 +7,8 @@
 	"leverstile.dev/fleet"
 )
 
-// syncWorkers calls the workers that have to be told something or are due for
-// a heartbeat.
+// syncWorkers calls the workers for which there is something to send or whose
+// heartbeat is due.
 func (o *Owner) syncWorkers(now time.Duration) {
 	if !o.mayRenew(now) {
 		return
@@ -19,7 +19,7 @@
 			continue
 		}
 		if !w.dirty && len(w.acks) > 0 && now-w.clockAt < o.params.HeartbeatEvery {
-			continue // the worker would answer at once with ends that wait for their commit
+			continue // the worker would answer at once with ends whose commit is pending
 		}
 		if !w.inFlight && o.inFlight >= o.params.WorkerCalls {
 			return
@@ -28,8 +28,8 @@
 	}
 }
 
-// noticeCommits marks the worker as having something to be told once records
-// that concern it are durable.
+// updateCommitted marks the worker for a call once records that concern it are
+// durable.
 func (w *worker) noticeCommits(committed uint64) {
 	n := 0
 	for n < len(w.untold) && w.untold[n] <= committed {
@@ -63,15 +63,15 @@
 	o.out.Syncs = append(o.out.Syncs, Sync{Worker: w.id, Address: w.address, Request: req})
 }
 
-// renew sets the lease's end as a reading of the worker's own clock. The
-// reading it counts from was taken before clockAt, so by our clock the lease
-// ends no later than leaseEnd, however late the request arrives.
+// renew sets the lease's end as a reading of the worker's own clock. The reading
+// from which it counts was taken before clockAt, so by the entry's clock the
+// lease ends no later than leaseEnd, however late the request arrives.
 func (o *Owner) renew(w *worker, req *fleet.SyncRequest) {
 	req.LeaseUntilMS = w.clockMS + o.params.TaskLease.Milliseconds()
 	w.leaseEnd = max(w.leaseEnd, w.clockAt+o.params.TaskLease+o.params.ClockMargin)
 }
 
-// fillRequest adds starts, stops and acknowledgements that are due.
+// fillRequest adds the starts, stops and acknowledgements that are due.
 func (o *Owner) fillRequest(now time.Duration, w *worker, req *fleet.SyncRequest) {
 	w.starts, w.stops = w.starts[:0], w.stops[:0]
 	for _, t := range o.onWorker(w.id) {
@@ -95,10 +95,10 @@
 	}
 }
 
-// mayStart reports whether the worker is to be told of an attempt: committed,
-// meant for this incarnation, not listed by the worker yet. As a worker lists
-// each attempt until its end is acknowledged, one that it doesn't list has not
-// begun there, and telling it again is safe.
+// mayStart reports whether an attempt's start is to be sent to the worker: it is
+// committed, meant for this incarnation and not listed by the worker yet. As a
+// worker lists each attempt until its end is acknowledged, one that it doesn't
+// list has not started there, and sending the start again is safe.
 func (o *Owner) mayStart(now time.Duration, w *worker, t *task) bool {
 	committed := t.startPos <= o.core.Committed() || o.params.NoStartCommit
 	return !t.running && !w.needFull && t.boot == w.boot && committed && o.mayDecide(now)
@@ -111,8 +111,8 @@
 	}
 }
 
-// WorkerAnswer takes the outcome of a call to a worker. Answers to other calls
-// than the last one are ignored: the last one's says all.
+// WorkerAnswer processes the outcome of a call to a worker. Only the answer to the
+// last call counts; it reports everything that earlier ones would.
 func (o *Owner) WorkerAnswer(now time.Duration, id string, term, seq uint64, reply *fleet.SyncReply, err error) {
 	w := o.workers[id]
 	if !o.wasOwning || term != o.core.Term() || w == nil || seq != w.seq || !w.inFlight {
@@ -131,7 +131,7 @@
 	o.Tick(now)
 }
 
-// handleReply takes over what a worker tells in answer to the last call.
+// handleReply processes a worker's answer to the last call.
 func (o *Owner) handleReply(now time.Duration, w *worker, reply *fleet.SyncReply) {
 	if w.boot != reply.Boot {
 		o.handleRestart(now, w, reply.Boot)
@@ -149,12 +149,12 @@
 	o.learn(now, w, reply)
 }
 
-// handleRestart handles a worker's first answer under this term, or a restart. What
-// was started on another incarnation runs no more.
+// handleRestart handles a worker's first answer under this term, or a restart.
+// Attempts started on another incarnation no longer run.
 func (o *Owner) handleRestart(now time.Duration, w *worker, boot uint64) {
 	if w.boot == 0 {
-		// The worker refuses former owners from here on; what they last granted
-		// counts from a reading of its clock that lies before now.
+		// From here on the worker refuses former owners; the last lease that
+		// they granted counts from an earlier reading of its clock.
 		w.leaseEnd = now + o.params.TaskLease + o.params.ClockMargin
 	}
 	w.boot = boot
@@ -166,7 +166,7 @@
 	}
 }
 
-// handleEnded takes the attempts that the worker lists as ended, and returns them.
+// handleEnded processes the attempts that the worker lists as ended, and returns them.
 func (o *Owner) handleEnded(now time.Duration, w *worker, reports []fleet.Report) map[fleet.AttemptRef]bool {
 	ended := make(map[fleet.AttemptRef]bool, len(reports))
 	acks := make(map[fleet.AttemptRef]uint64, len(reports))
@@ -177,9 +177,9 @@
 			o.attemptEnded(now, w, t, r)
 		}
 		if r.State == fleet.AttemptRefused {
-			continue // the worker doesn't keep it
+			continue // the worker doesn't keep refused attempts
 		}
-		// An end of an attempt that the table no longer holds was recorded before.
+		// The end of an attempt that the table no longer has was recorded before.
 		pos, known := w.acks[r.AttemptRef]
 		if !known {
 			pos = o.core.Proposed()
@@ -191,7 +191,7 @@
 	return ended
 }
 
-// markStarted notes that the starts of the answered call have begun.
+// markStarted marks the starts of the answered call as running.
 func (o *Owner) markStarted(w *worker, ended map[fleet.AttemptRef]bool) {
 	for _, ref := range w.starts {
 		t := o.table.onWorker[w.id][ref.Task]
@@ -202,9 +202,9 @@
 	w.starts = w.starts[:0]
 }
 
-// endNeverBegun ends attempts that were to be stopped and that the worker does
-// not know: had they begun, it would list them until they are acknowledged, and
-// the fence on sequence numbers keeps earlier starts out from now on.
+// endNeverStarted ends attempts that were to be stopped and that the worker does
+// not list: had they started, it would list them until they are acknowledged, and
+// the check of sequence numbers rejects earlier starts from now on.
 func (o *Owner) endNeverBegun(now time.Duration, w *worker) {
 	for _, ref := range w.stops {
 		t := o.table.onWorker[w.id][ref.Task]
@@ -225,8 +225,8 @@
 	return sum
 }
 
-// takeList takes over a full list of what runs on the worker. Attempts that
-// the table doesn't hold there are stopped, and their room counts until then.
+// applyRunningList processes a full list of what runs on the worker. Attempts that
+// the table doesn't have there are stopped, and count as used capacity until then.
 func (o *Owner) takeList(w *worker, running []fleet.Report) {
 	w.needFull = false
 	for _, t := range o.table.onWorker[w.id] {
@@ -244,7 +244,7 @@
 		w.orphans = append(w.orphans, r.AttemptRef)
 	}
 	w.view.Free = w.view.Free.Sub(w.foreign)
-	// Orphans are stopped by the next call, and the list after it tells that
+	// Orphans are stopped by the next call, and the list after it shows whether
 	// they are gone.
 	w.needFull = len(w.orphans) > 0
 	w.dirty = w.dirty || w.needFull || o.startsDue(w)
--- a/cell/table.go
+++ b/cell/table.go
@@ -1,9 +1,9 @@
-// Package cell owns the tasks of a set of workers. The decisions are pure: an
-// Owner is given clock readings, calls, and answers of the store and of
-// workers, and returns commands. Runner, the shell, carries them out.
+// Package cell owns the tasks of a set of workers. It does no input or output: an
+// Owner is given clock readings, calls, and answers of the store and of workers,
+// and returns commands, which package entry carries out.
 //
-// What must always hold is stated in docs/design/ownership.md and beside the
-// fields below.
+// An owner never over-commits a VM, never runs a task in two places and never
+// loses a task whose submission it has acknowledged.
 package cell
 
 import (
@@ -37,8 +37,8 @@
 // String returns the phase in lower case.
 func (p Phase) String() string { return [...]string{"pending", "assigned", "done"}[p] }
 
-// task is a row of the table. The first part is in the journal; the second is
-// known to this owner only.
+// task is a row of the table. The first part of its fields is in the journal; the
+// second is known to this owner only.
 type task struct {
 	spec       *journalv1.TaskSpec
 	phase      Phase
@@ -58,8 +58,8 @@
 	seq uint64
 	// pos is the journal position of the task's last record.
 	pos uint64
-	// startPos is the journal position of the attempt's start. A worker is told
-	// of the attempt only once that is committed.
+	// startPos is the journal position of the attempt's start. A worker is sent
+	// the start only once that is committed.
 	startPos uint64
 	// running: the worker has listed the attempt.
 	running bool
@@ -71,8 +71,8 @@
 	doneAt    time.Duration
 	// failedOn are the workers on which attempts have failed.
 	failedOn []string
-	unfit    bool
-	// evictingFor: room is being made for this task.
+	unfit    bool // no VM is large enough or matches the selector
+	// awaitingEviction: tasks are being evicted to free capacity for this one.
 	evictingFor bool
 }
 
@@ -88,7 +88,7 @@
 	// only if t.phase == Assigned and t.worker == w.
 	onWorker map[string]map[string]*task
 	queues   map[string]*queue
-	// listener is told of each change of phase, after it was made.
+	// listener is called after each change of phase.
 	listener func(t *task, from Phase)
 }
 
@@ -115,8 +115,8 @@
 	return tb.apply(rec)
 }
 
-// apply changes the table by one record. The same code serves decisions and
-// recovery, so that both always agree.
+// apply changes the table by one record. Decisions and recovery use the same code,
+// so that they always agree.
 func (tb *table) apply(rec *journalv1.TaskRecord) error {
 	if s := rec.GetSubmitted(); s != nil {
 		return tb.submit(rec.GetId(), s)
@@ -305,7 +305,7 @@
 	return nil
 }
 
-// state returns the task as it stands in a snapshot or an answer.
+// state returns the task in the form used in snapshots and answers.
 func (t *task) state() *journalv1.TaskState {
 	return &journalv1.TaskState{
 		Spec: t.spec, Phase: uint32(t.phase), Attempt: t.attempt, Worker: t.worker, Boot: t.boot,
@@ -332,7 +332,7 @@
 }
 
 // queue holds the pending tasks of one group: urgent ones first, then by
-// submission. Tasks that are no longer pending are dropped when met.
+// submission. Tasks that are no longer pending are removed when encountered.
 type queue struct {
 	tasks []*task
 }
@@ -347,15 +347,15 @@
 func (q *queue) add(t *task) {
 	i := sort.Search(len(q.tasks), func(i int) bool { return !before(q.tasks[i], t) })
 	if i < len(q.tasks) && q.tasks[i] == t {
-		return // still there from its earlier stay
+		return // not removed since it was last pending
 	}
 	q.tasks = append(q.tasks, nil)
 	copy(q.tasks[i+1:], q.tasks[i:])
 	q.tasks[i] = t
 }
 
-// first returns up to n tasks for which want holds, in order, and drops the
-// ones met on the way that are no longer pending.
+// first returns up to n tasks for which want holds, in order, and removes the
+// tasks before them that are no longer pending.
 func (q *queue) first(n int, want func(*task) bool) []*task {
 	var out []*task
 	kept, i := 0, 0
--- a/cell/workers.go
+++ b/cell/workers.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	// goneAfter is how long a VM must be missing from the platform's list
-	// before it counts as stopped: the list may lag behind, or be read from a
-	// replica that does.
+	// goneAfter is how long a VM must be missing from the platform's list before
+	// it counts as stopped: the list may lag, or be read from a replica that
+	// does.
 	goneAfter = 20 * time.Second
-	// blameAfter first failures of different tasks in a row, without a success,
-	// put a worker into quarantine.
+	// quarantineThreshold is how many first failures of tasks in a row, without a
+	// success, put a worker into quarantine.
 	blameAfter = 4
-	// firstQuarantine doubles each time up to maxQuarantine.
+	// initialQuarantine doubles each time up to maxQuarantine.
 	firstQuarantine = time.Minute
 	maxQuarantine   = 30 * time.Minute
-	// quarantinedPart bounds the workers in quarantine, so that a wave of bad
-	// tasks can't take the cell down.
+	// maxQuarantinedFraction bounds the workers in quarantine, so that many
+	// failing tasks can't take the cell down.
 	quarantinedPart = 0.2
 )
 
-// worker is what the owner knows of a worker.
+// worker is the owner's state of a worker.
 type worker struct {
 	id      string
 	address string
@@ -34,49 +34,50 @@
 	history scheduler.History
 	ladder  scheduler.Ladder
 
-	// boot is the worker's incarnation, zero until it has answered under this
-	// term; clockMS is the last reading of its clock, received at clockAt.
+	// boot identifies the worker's incarnation, zero until it has answered under
+	// this term; clockMS is the last reading of its clock, received at clockAt.
 	boot    uint64
 	clockMS int64
 	clockAt time.Duration
-	// leaseEnd: no task of this cell runs on the worker after this reading of
-	// our clock unless the lease is renewed. It only grows while the worker may
-	// hold a lease from any owner.
+	// leaseEnd: no task of this cell runs on the worker after this time of the
+	// entry's clock unless the lease is renewed. It only grows while the worker
+	// may hold a lease from any owner.
 	leaseEnd time.Duration
-	lapsed   bool // leaseEnd has passed and its tasks were given up
+	lapsed   bool // leaseEnd has passed and the attempts have been ended
 
 	seq       uint64
 	inFlight  bool
 	idleSync  bool // the call in flight lets the worker wait
 	notBefore time.Duration
-	dirty     bool // something to tell
-	// untold are journal positions, ascending, after whose commit there is
-	// something to tell.
+	dirty     bool // there is something to send
+	// pendingCommits are journal positions, ascending, whose commit gives
+	// something to send.
 	untold    []uint64
 	needFull  bool
 	askedFull bool // the call in flight asks for the full list
-	// starts and stops are what the call in flight asks for.
+	// starts and stops are those in the call in flight.
 	starts, stops []fleet.AttemptRef
 
 	// acks are the ended attempts that the worker still lists, with the journal
 	// position that must be durable before the worker may forget them.
 	acks map[fleet.AttemptRef]uint64
-	// orphans run on the worker though the table holds them elsewhere or not at
-	// all; foreign is the room they hold.
+	// orphans run on the worker although the table has them elsewhere or not at
+	// all; orphanResources is what they use.
 	orphans []fleet.AttemptRef
 	foreign fleet.Resources
 
+	// freeingCapacityFor are the urgent tasks for which tasks here are evicted.
 	makingRoomFor []*task
 
 	failuresInRow   int
 	quarantineFor   time.Duration
 	quarantineUntil time.Duration
 	throttledKind   string
-	// barred kinds may not be started here until the given times.
+	// excludedKinds may not be started here until the given times.
 	barred map[string]time.Duration
 }
 
-// worker returns the row of a worker, new if need be.
+// ensureWorker returns the state of a worker and creates it if missing.
 func (o *Owner) worker(id string) *worker {
 	w := o.workers[id]
 	if w == nil {
@@ -91,7 +92,7 @@
 	return w
 }
 
-// describe takes over what the platform's list says of a VM.
+// applyVM records what the platform's list reports of a VM.
 func (w *worker) describe(vm fleet.VM) {
 	w.address = vm.Worker
 	capacity := vm.Capacity.Sub(vm.Reserved)
@@ -110,7 +111,7 @@
 	}
 }
 
-// SetVMs takes over the platform's list, as far as it lies in this cell.
+// SetVMs records the VMs of this cell in the platform's list.
 func (o *Owner) SetVMs(now time.Duration, vms []fleet.VM) {
 	o.vmsKnown = true
 	next := make(map[string]fleet.VM, len(vms))
@@ -162,13 +163,13 @@
 	}
 }
 
-// gone reports whether the platform has surely stopped the VM.
+// gone reports whether the VM has been missing long enough to count as stopped.
 func (o *Owner) gone(now time.Duration, id string) bool {
 	since, ok := o.missing[id]
 	return ok && now-since >= goneAfter
 }
 
-// expireWorkers gives up the attempts on workers that surely run them no more.
+// expireWorkers ends the attempts on workers that can no longer run them.
 func (o *Owner) expireWorkers(now time.Duration) {
 	for _, w := range o.sorted() {
 		gone := o.gone(now, w.id)
@@ -228,8 +229,8 @@
 	o.noticeRoom(w)
 }
 
-// barFor is how long a kind that was evicted for a service's sake is kept off
-// the VM.
+// kindExclusionPeriod is how long a kind that was evicted to protect a service is
+// excluded from the VM.
 const barFor = 5 * time.Minute
 
 func (w *worker) bar(now time.Duration, kind string) {
@@ -249,8 +250,8 @@
 	}
 }
 
-// vacate moves tasks off a VM that is leaving. Tasks that can't be evicted run
-// on as long as the VM lives.
+// vacate moves tasks off a VM that is leaving. Tasks that can't be evicted
+// continue as long as the VM lives.
 func (o *Owner) vacate(now time.Duration, w *worker) {
 	if !o.mayDecide(now) {
 		return
@@ -263,8 +264,8 @@
 	}
 }
 
-// noticeRoom lets urgent tasks be planned again once nothing on the worker is
-// being stopped for them any more.
+// checkFreedCapacity lets urgent tasks be planned again once no more tasks on the
+// worker are being stopped for them.
 func (o *Owner) noticeRoom(w *worker) {
 	if len(w.makingRoomFor) == 0 {
 		return
