--- a/cell/learning.go
+++ b/cell/learning.go
@@ -57,11 +57,11 @@
 
 // worstKind returns the kind on the worker that adds most to the slow-down.
 func (o *Owner) worstKind(w *worker, s fleet.Slowdown) string {
-	worst, most := "", -1.0
+	worst, maxAdded := "", -1.0
 	for kind, n := range w.view.Kinds {
 		added := float64(n) * o.model.Coefficient(s.Service, kind, s.Load)
-		if added > most || added == most && kind < worst {
-			worst, most = kind, added
+		if added > maxAdded || added == maxAdded && kind < worst {
+			worst, maxAdded = kind, added
 		}
 	}
 	return worst
--- a/cell/owner_fuzz_test.go
+++ b/cell/owner_fuzz_test.go
@@ -87,12 +87,12 @@
 		"owner books twice the room":        {overBooks: true},
 		"end is acknowledged before commit": {ackEarly: true},
 	}
-	const most = 400
+	const maxRuns = 400
 	for name, m := range mutations {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			steps := 0
-			for seed := range uint64(most) {
+			for seed := range uint64(maxRuns) {
 				s, err := seeded(seed, m)
 				steps += s.steps
 				if err != nil {
@@ -100,7 +100,7 @@
 					return
 				}
 			}
-			t.Errorf("not found in %d runs", most)
+			t.Errorf("not found in %d runs", maxRuns)
 		})
 	}
 }
--- a/cell/replay/traces_test.go
+++ b/cell/replay/traces_test.go
@@ -28,7 +28,7 @@
 }
 
 // TestTraces replays each trace with each policy and checks the bounds beside it.
-// With -v it prints the measurements as a table.
+// With -v it prints the table of docs/MEASUREMENTS.md.
 func TestTraces(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.jsonl")
 	if err != nil || len(files) == 0 {
@@ -73,9 +73,9 @@
 
 func check(t *testing.T, w Want, outcomes map[string]Outcome) {
 	o := outcomes["chosen"]
-	atMost := func(what string, got, most float64) {
-		if most > 0 && got > most {
-			t.Errorf("%s is %.3f, want at most %.3f", what, got, most)
+	atMost := func(what string, got, limit float64) {
+		if limit > 0 && got > limit {
+			t.Errorf("%s is %.3f, want at most %.3f", what, got, limit)
 		}
 	}
 	atMost("slow-down p99", o.SlowP99, w.SlowP99Max)
--- a/cell/table.go
+++ b/cell/table.go
@@ -3,7 +3,7 @@
 // and returns commands, which package entry carries out.
 //
 // An owner never over-commits a VM, never runs a task in two places and never
-// loses a task whose submission it has acknowledged.
+// loses a task whose submission it has acknowledged; see docs/design/ownership.md.
 package cell
 
 import (
--- a/cell/workers.go
+++ b/cell/workers.go
@@ -138,14 +138,14 @@
 }
 
 func largestOf(vms []fleet.VM) fleet.Resources {
-	var most fleet.Resources
+	var largest fleet.Resources
 	for _, vm := range vms {
 		c := vm.Capacity.Sub(vm.Reserved)
-		most.CPUMilli = max(most.CPUMilli, c.CPUMilli)
-		most.MemoryMiB = max(most.MemoryMiB, c.MemoryMiB)
-		most.Accelerators = max(most.Accelerators, c.Accelerators)
+		largest.CPUMilli = max(largest.CPUMilli, c.CPUMilli)
+		largest.MemoryMiB = max(largest.MemoryMiB, c.MemoryMiB)
+		largest.Accelerators = max(largest.Accelerators, c.Accelerators)
 	}
-	return most
+	return largest
 }
 
 func (o *Owner) noteMissing(now time.Duration, id string, listed map[string]fleet.VM) {
