--- a/cell/owner.go
+++ b/cell/owner.go
@@ -44,7 +44,7 @@
 	// PlanEvery is the least time between two plans.
 	PlanEvery time.Duration
 	// WorkerCalls bounds the concurrent calls to workers, so that a takeover or
-	// the end of an outage doesn't flood the network.
+	// the end of an outage causes no burst of calls.
 	WorkerCalls int
 	// NoSelfFence makes an owner continue after its lease. NoStartCommit sends
 	// starts to workers before they are durable, NoAckCommit acknowledges ended
--- a/cell/table.go
+++ b/cell/table.go
@@ -355,7 +355,7 @@
 }
 
 // first returns up to n tasks for which want holds, in order, and removes the
-// tasks before them that are no longer pending.
+// tasks that it encounters and that are no longer pending.
 func (q *queue) first(n int, want func(*task) bool) []*task {
 	var out []*task
 	kept, i := 0, 0
--- a/cell/workers.go
+++ b/cell/workers.go
@@ -15,10 +15,11 @@
 	// it counts as stopped: the list may lag, or be read from a replica that
 	// does.
 	goneAfter = 20 * time.Second
-	// quarantineThreshold is how many first failures of tasks in a row, without a
-	// success, put a worker into quarantine.
+	// quarantineThreshold is how many failures in a row, of tasks that had not
+	// failed before and without a success, put a worker into quarantine.
 	blameAfter = 4
-	// initialQuarantine doubles each time up to maxQuarantine.
+	// initialQuarantine is the length of a worker's first quarantine. It doubles
+	// with each further one up to maxQuarantine.
 	firstQuarantine = time.Minute
 	maxQuarantine   = 30 * time.Minute
 	// maxQuarantinedFraction bounds the workers in quarantine, so that many
