--- a/cell/owner_fuzz_test.go
+++ b/cell/owner_fuzz_test.go
@@ -26,7 +26,7 @@
 func TestOwnerPromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pick := func(label string, n int) int { return rapid.IntRange(0, n-1).Draw(t, label) }
-		s := newSim(pick, mutation{faults: standin.WorkerFaults{NoRoomCheck: true}})
+		s := newSim(pick, mutation{faults: standin.WorkerFaults{NoCapacityCheck: true}})
 		for range simSteps {
 			if err := s.step(); err != nil {
 				t.Fatal(err)
@@ -41,7 +41,7 @@
 // runSeed runs one simulation from a seed until an invariant is violated.
 func seeded(seed uint64, m mutation) (*sim, error) {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	m.faults.NoRoomCheck = true
+	m.faults.NoCapacityCheck = true
 	s := newSim(func(_ string, n int) int { return rng.IntN(n) }, m)
 	for range simSteps {
 		if err := s.step(); err != nil {
--- a/cell/replay/replay.go
+++ b/cell/replay/replay.go
@@ -171,7 +171,7 @@
 	begin := p.now
 	for i := range p.trace.Workers {
 		w := standin.NewWorker(fmt.Sprintf("vm-%03d", i), p.trace.Capacity.Sub(p.trace.Reserved))
-		w.Guards, w.SampleLag = true, time.Duration(p.trace.LagS)*time.Second
+		w.EnforceLimits, w.SampleLag = true, time.Duration(p.trace.LagS)*time.Second
 		w.SlowdownOf = func(kinds map[string]int, now time.Duration) []fleet.Slowdown {
 			return p.slowdown(kinds, now-begin)
 		}
