--- a/cell/attempts.go
+++ b/cell/attempts.go
@@ -12,12 +12,12 @@
 // endLostAttempts ends the attempts on a worker whose task leases have ended or
 // whose VM is gone. It does so only while this entry may decide; until then the
 // attempts count as running, which is safe.
-func (o *Owner) giveUp(now time.Duration, w *worker, gone bool) {
+func (o *Owner) endLostAttempts(now time.Duration, w *worker, gone bool) {
 	if !o.mayDecide(now) {
 		return
 	}
-	w.lapsed = true
-	w.needFull = true
+	w.leaseEnded = true
+	w.fullListNeeded = true
 	for _, t := range o.onWorker(w.id) {
 		why := "no contact until its lease had ended"
 		if gone {
@@ -32,7 +32,7 @@
 func (o *Owner) attemptLost(now time.Duration, t *task, why string) {
 	o.counters.Lost++
 	switch {
-	case t.cancel:
+	case t.cancelRequested:
 		o.finish(now, t, result.TaskCancelled, "its worker was lost while it was being stopped")
 	case t.spec.GetNotRepeatable():
 		o.finish(now, t, result.WorkerLostNoRep, why)
@@ -42,7 +42,7 @@
 }
 
 func (o *Owner) endAttempt(now time.Duration, t *task, reason journalv1.EndReason, checkpoint []byte, why string) {
-	w := o.worker(t.worker)
+	w := o.ensureWorker(t.worker)
 	attempt := t.attempt
 	o.propose(&journalv1.TaskRecord{
 		Id: t.spec.GetId(),
@@ -52,7 +52,7 @@
 	})
 	t.since = now
 	o.recordKinds(now, w)
-	o.decide(Decision{What: "attempt-ended", Task: t.spec.GetId(), Attempt: attempt, Worker: w.id, Reason: why})
+	o.recordDecision(Decision{What: "attempt-ended", Task: t.spec.GetId(), Attempt: attempt, Worker: w.id, Reason: why})
 }
 
 func (o *Owner) finish(now time.Duration, t *task, code result.Code, detail string) {
@@ -64,27 +64,27 @@
 		}},
 	})
 	t.doneAt = now
-	o.done = append(o.done, t)
-	delete(o.reasons, t.spec.GetId())
+	o.finishedTasks = append(o.finishedTasks, t)
+	delete(o.waitReasons, t.spec.GetId())
 	o.counters.Finished++
 	if wasAssigned {
-		w := o.worker(workerID)
+		w := o.ensureWorker(workerID)
 		o.recordKinds(now, w)
 	}
-	o.decide(Decision{What: "done", Task: t.spec.GetId(), Attempt: t.attempt, Worker: workerID, Reason: code.String()})
+	o.recordDecision(Decision{What: "done", Task: t.spec.GetId(), Attempt: t.attempt, Worker: workerID, Reason: code.String()})
 }
 
 func (o *Owner) attemptEnded(now time.Duration, w *worker, t *task, r fleet.Report) {
 	switch r.State {
 	case fleet.AttemptFinished:
-		w.succeeded()
+		w.recordSuccess()
 		o.finish(now, t, result.OK, r.Detail)
 	case fleet.AttemptFailed:
 		o.attemptFailed(now, w, t, r)
 	case fleet.AttemptRefused:
 		o.counters.Refused++
 		w.notBefore = now + o.params.RetryEvery
-		w.needFull = true
+		w.fullListNeeded = true
 		o.endOrCancel(now, t, journalv1.EndReason_END_REASON_NEVER_BEGAN, nil, "refused by the worker")
 	default:
 		o.counters.Evicted++
@@ -93,7 +93,7 @@
 }
 
 func (o *Owner) endOrCancel(now time.Duration, t *task, reason journalv1.EndReason, checkpoint []byte, why string) {
-	if t.cancel {
+	if t.cancelRequested {
 		o.finish(now, t, result.TaskCancelled, why)
 		return
 	}
@@ -101,9 +101,9 @@
 }
 
 func (o *Owner) attemptFailed(now time.Duration, w *worker, t *task, r fleet.Report) {
-	blamed := o.blame(now, w, t)
+	blamed := o.blameWorker(now, w, t)
 	switch {
-	case t.cancel:
+	case t.cancelRequested:
 		o.finish(now, t, result.TaskCancelled, "failed while it was being cancelled")
 	case t.spec.GetNotRepeatable():
 		o.finish(now, t, result.TaskFailed, r.Detail)
@@ -129,17 +129,17 @@
 // blameWorker reports whether a failure counts as the worker's rather than the
 // task's: many tasks in a row that had not failed elsewhere failed there, without
 // a success. It puts such a worker into quarantine.
-func (o *Owner) blame(now time.Duration, w *worker, t *task) bool {
+func (o *Owner) blameWorker(now time.Duration, w *worker, t *task) bool {
 	if t.failures == 0 {
 		w.failuresInRow++
 	}
-	if w.failuresInRow < blameAfter {
+	if w.failuresInRow < quarantineThreshold {
 		return false
 	}
-	if now >= w.quarantineUntil && o.quarantined(now) < quarantinedPart*float64(len(o.workers)) {
-		w.quarantineFor = min(max(2*w.quarantineFor, firstQuarantine), maxQuarantine)
+	if now >= w.quarantineUntil && o.quarantined(now) < maxQuarantinedFraction*float64(len(o.workers)) {
+		w.quarantineFor = min(max(2*w.quarantineFor, initialQuarantine), maxQuarantine)
 		w.quarantineUntil = now + w.quarantineFor
-		o.decide(Decision{What: "quarantine", Worker: w.id, Reason: "its tasks fail repeatedly; quarantined for " + w.quarantineFor.String()})
+		o.recordDecision(Decision{What: "quarantine", Worker: w.id, Reason: "its tasks fail repeatedly; quarantined for " + w.quarantineFor.String()})
 	}
 	return now < w.quarantineUntil
 }
@@ -155,7 +155,7 @@
 }
 
 // recordSuccess ends the count of failures in a row and resets the quarantine time.
-func (w *worker) succeeded() {
+func (w *worker) recordSuccess() {
 	w.failuresInRow = 0
 	w.quarantineFor = 0
 }
--- a/cell/calls.go
+++ b/cell/calls.go
@@ -14,7 +14,7 @@
 )
 
 // checkWritable returns why nothing can be recorded now, or nil.
-func (o *Owner) refuse(now time.Duration) *result.Error {
+func (o *Owner) checkWritable(now time.Duration) *result.Error {
 	if !o.mayDecide(now) {
 		return result.New(result.OwnerUnavailable, "entry %s does not own cell %s", o.params.Self, o.params.Cell).After(time.Second)
 	}
@@ -27,7 +27,7 @@
 // Submit records tasks. The reply to ticket comes once they are durable. A repeated
 // submission of a task changes nothing.
 func (o *Owner) Submit(now time.Duration, ticket uint64, specs []*journalv1.TaskSpec) {
-	if refusal := o.refuse(now); refusal != nil {
+	if refusal := o.checkWritable(now); refusal != nil {
 		o.out.Replies = append(o.out.Replies, Reply{Ticket: ticket, Err: refusal})
 		return
 	}
@@ -65,7 +65,7 @@
 // stopped first; one that ends at the same time keeps its own outcome.
 func (o *Owner) Cancel(now time.Duration, ticket uint64, id string, sel labels.Selector) {
 	reply := Reply{Ticket: ticket}
-	if refusal := o.refuse(now); refusal != nil {
+	if refusal := o.checkWritable(now); refusal != nil {
 		o.out.Replies = append(o.out.Replies, Reply{Ticket: ticket, Err: refusal})
 		return
 	}
@@ -87,7 +87,7 @@
 		o.finish(now, t, result.TaskCancelled, "cancelled before it ran")
 		return
 	}
-	if !t.cancel {
+	if !t.cancelRequested {
 		o.propose(&journalv1.TaskRecord{
 			Id:     t.spec.GetId(),
 			Change: &journalv1.TaskRecord_CancelRequested{CancelRequested: &journalv1.CancelRequested{}},
@@ -119,7 +119,7 @@
 // reported state is durable.
 func (o *Owner) Get(now time.Duration, ticket uint64, id string, sel labels.Selector) {
 	reply := Reply{Ticket: ticket}
-	if !o.wasOwning || !o.mayRenew(now) {
+	if !o.owning || !o.mayRenew(now) {
 		reply.Err = result.New(result.OwnerUnavailable, "entry %s does not own cell %s", o.params.Self, o.params.Cell).After(time.Second)
 		o.out.Replies = append(o.out.Replies, reply)
 		return
@@ -130,7 +130,7 @@
 	}
 	var pos uint64
 	for _, t := range tasks {
-		pos = max(pos, t.pos)
+		pos = max(pos, t.lastRecordPos)
 		reply.Tasks = append(reply.Tasks, t.state())
 	}
 	o.answerAfter(pos, reply)
@@ -178,7 +178,7 @@
 }
 
 func (o *Owner) explainPending(now time.Duration, t *task) string {
-	reason := o.reasons[t.spec.GetId()]
+	reason := o.waitReasons[t.spec.GetId()]
 	if reason == "" {
 		reason = scheduler.ReasonBehind
 	}
--- a/cell/learning.go
+++ b/cell/learning.go
@@ -9,7 +9,7 @@
 
 // applySamples records a worker's samples. They may be old: each is attributed to
 // what ran at the time of its measurement.
-func (o *Owner) learn(now time.Duration, w *worker, reply *fleet.SyncReply) {
+func (o *Owner) applySamples(now time.Duration, w *worker, reply *fleet.SyncReply) {
 	for _, u := range reply.Usage {
 		o.sizes.Observe(u.Kind, u.Used)
 	}
@@ -30,7 +30,7 @@
 		return
 	}
 	unthrottled := o.model.Predict(s.Service, s.Load, w.view.Kinds)
-	switch w.ladder.Next(o.ladder, s.Factor, unthrottled) {
+	switch w.ladder.Next(o.ladderParams, s.Factor, unthrottled) {
 	case scheduler.StepThrottle:
 		w.throttledKind = o.worstKind(w, s)
 		o.throttle(now, w, true)
@@ -77,15 +77,15 @@
 			t.throttled = on
 		}
 	}
-	w.dirty = true
+	w.callNeeded = true
 	o.recordKinds(now, w)
-	o.decide(Decision{What: what, Worker: w.id, Reason: "tasks of kind " + w.throttledKind + " beside a service"})
+	o.recordDecision(Decision{What: what, Worker: w.id, Reason: "tasks of kind " + w.throttledKind + " beside a service"})
 }
 
 // evictWorst evicts, within the budget, the task of the worst kind that loses least
 // work.
 func (o *Owner) evictWorst(now time.Duration, w *worker, s fleet.Slowdown) {
-	if o.budget < budgetBurst/2 {
+	if o.evictionBudget < maxEvictionBurst/2 {
 		return // the rest is for urgent tasks
 	}
 	kind := o.worstKind(w, s)
@@ -96,7 +96,7 @@
 		}
 	}
 	if victim != nil {
-		w.bar(now, kind)
+		w.excludeKind(now, kind)
 		o.evict(scheduler.Eviction{Task: victim.spec.GetId(), Worker: w.id, Loss: now - victim.since})
 	}
 }
--- a/cell/owner.go
+++ b/cell/owner.go
@@ -125,40 +125,40 @@
 // Owner decides for the tasks of the cell at one entry, whether or not this entry
 // owns the cell now. It isn't safe for concurrent use.
 type Owner struct {
-	params  Params
-	core    *shard.Core
-	table   *table
-	planner scheduler.Scheduler
-	model   *scheduler.Interference
-	sizes   *scheduler.Estimator
-	shares  *scheduler.Shares
-	ladder  scheduler.LadderParams
-
-	groups     []scheduler.GroupSpec
-	vms        map[string]fleet.VM
-	vmsKnown   bool
-	largest    fleet.Resources          // the largest amount of each resource that a VM has
-	missing    map[string]time.Duration // when a VM was first missing from the list
-	workers    map[string]*worker
-	order      []*worker // workers by id; nil when out of date
-	inFlight   int
-	wasOwning  bool
-	owningFrom time.Duration
+	params       Params
+	core         *shard.Core
+	table        *table
+	planner      scheduler.Scheduler
+	model        *scheduler.Interference
+	sizes        *scheduler.Estimator
+	shares       *scheduler.Shares
+	ladderParams scheduler.LadderParams
+
+	groups       []scheduler.GroupSpec
+	vms          map[string]fleet.VM
+	vmsKnown     bool
+	largest      fleet.Resources          // the largest amount of each resource that a VM has
+	missingSince map[string]time.Duration // when a VM was first missing from the list
+	workers      map[string]*worker
+	workerOrder  []*worker // workers by id; nil when out of date
+	inFlight     int
+	owning       bool
+	owningSince  time.Duration
 	// minLeaseEnd is until when tasks that a former owner started may run on
 	// workers that have not answered under this term.
-	leaseEndFloor time.Duration
-	dirty         bool // something changed that a new plan could use
-	lastPlan      time.Duration
-	budget        float64
-	budgetAt      time.Duration
-	reasons       map[string]scheduler.Reason
-	done          []*task
-	waiting       []waitingReply
-	counters      Counters
-	out           Commands
-}
-
-type waitingReply struct {
+	minLeaseEnd     time.Duration
+	planNeeded      bool // something changed that a new plan could use
+	lastPlan        time.Duration
+	evictionBudget  float64
+	budgetUpdatedAt time.Duration
+	waitReasons     map[string]scheduler.Reason
+	finishedTasks   []*task
+	pendingReplies  []pendingReply
+	counters        Counters
+	out             Commands
+}
+
+type pendingReply struct {
 	pos   uint64
 	reply Reply
 }
@@ -167,15 +167,15 @@
 // model learns from the workers' samples.
 func NewOwner(params Params, sp shard.Params, planner scheduler.Scheduler, model *scheduler.Interference) *Owner {
 	o := &Owner{
-		params:  params,
-		table:   newTable(),
-		planner: planner,
-		model:   model,
-		sizes:   scheduler.NewEstimator(),
-		ladder:  scheduler.DefaultLadderParams,
-		vms:     map[string]fleet.VM{},
-		missing: map[string]time.Duration{},
-		workers: map[string]*worker{},
+		params:       params,
+		table:        newTable(),
+		planner:      planner,
+		model:        model,
+		sizes:        scheduler.NewEstimator(),
+		ladderParams: scheduler.DefaultLadderParams,
+		vms:          map[string]fleet.VM{},
+		missingSince: map[string]time.Duration{},
+		workers:      map[string]*worker{},
 	}
 	o.core = shard.New(sp, o.table)
 	o.resetVolatile()
@@ -184,11 +184,11 @@
 
 func (o *Owner) resetVolatile() {
 	o.shares = scheduler.NewShares(o.groups, o.totalCapacity(), scheduler.DefaultHalfLife)
-	o.workers, o.order = map[string]*worker{}, nil
-	o.reasons = map[string]scheduler.Reason{}
-	o.done = nil
+	o.workers, o.workerOrder = map[string]*worker{}, nil
+	o.waitReasons = map[string]scheduler.Reason{}
+	o.finishedTasks = nil
 	o.inFlight = 0
-	o.dirty = true
+	o.planNeeded = true
 }
 
 // Core gives access to ownership: SetWanted, SetLease, Phase, Term.
@@ -208,7 +208,7 @@
 func (o *Owner) SetGroups(groups []scheduler.GroupSpec) {
 	o.groups = groups
 	o.shares.SetGroups(groups)
-	o.dirty = true
+	o.planNeeded = true
 }
 
 // SetElsewhere sets the resources that each group uses in other cells, and the
@@ -262,10 +262,10 @@
 	if err != nil {
 		o.out.Errs = append(o.out.Errs, err)
 	}
-	o.dirty = true
+	o.planNeeded = true
 	pos := o.core.Propose(b)
 	if t := o.table.tasks[rec.GetId()]; t != nil {
-		t.pos = pos
+		t.lastRecordPos = pos
 	}
 	return pos
 }
@@ -273,15 +273,15 @@
 // Tick performs the work that is due at now.
 func (o *Owner) Tick(now time.Duration) {
 	o.out.Store = append(o.out.Store, o.core.Tick(now)...)
-	o.noticeOwnership(now)
+	o.updateOwnership(now)
 	o.flushReplies()
-	if !o.wasOwning {
+	if !o.owning {
 		return
 	}
 	o.expireWorkers(now)
 	o.plan(now)
 	o.syncWorkers(now)
-	o.forget(now)
+	o.removeExpired(now)
 }
 
 // StoreAnswer processes the outcome of a store operation.
@@ -293,68 +293,68 @@
 }
 
 // updateOwnership handles the start and the end of this entry's ownership.
-func (o *Owner) noticeOwnership(now time.Duration) {
+func (o *Owner) updateOwnership(now time.Duration) {
 	phase := o.core.Phase()
 	owning := phase == shard.Owning || phase == shard.Releasing
-	if owning == o.wasOwning {
+	if owning == o.owning {
 		return
 	}
-	o.wasOwning = owning
+	o.owning = owning
 	if !owning {
-		o.lost()
+		o.ownershipLost()
 		return
 	}
-	o.gained(now)
+	o.ownershipGained(now)
 }
 
-func (o *Owner) gained(now time.Duration) {
-	o.owningFrom = now
+func (o *Owner) ownershipGained(now time.Duration) {
+	o.owningSince = now
 	// A former owner may have renewed leases until the end of its grace period,
 	// just before which it may have had a fresh reading of the worker's clock.
-	o.leaseEndFloor = now + o.params.OutageGrace + o.params.TaskLease + o.params.ClockMargin
+	o.minLeaseEnd = now + o.params.OutageGrace + o.params.TaskLease + o.params.ClockMargin
 	if o.params.NoTakeoverWait {
-		o.leaseEndFloor = now + o.params.ClockMargin
+		o.minLeaseEnd = now + o.params.ClockMargin
 	}
 	o.resetVolatile()
 	o.table.listener = o.onChange
 	for _, t := range o.table.ordered() {
-		o.adopt(now, t)
+		o.recoverTask(now, t)
 	}
 	for id := range o.table.onWorker {
-		o.worker(id)
+		o.ensureWorker(id)
 	}
 	for id := range o.vms {
-		o.worker(id)
+		o.ensureWorker(id)
 	}
-	o.decide(Decision{What: "takeover", Reason: "ownership gained"})
+	o.recordDecision(Decision{What: "takeover", Reason: "ownership gained"})
 }
 
 // recoverTask restores the volatile state of a task read from the journal.
-func (o *Owner) adopt(now time.Duration, t *task) {
+func (o *Owner) recoverTask(now time.Duration, t *task) {
 	switch t.phase {
 	case Assigned:
-		o.hold(t)
+		o.reserve(t)
 	case Done:
 		t.doneAt = now
-		o.done = append(o.done, t)
+		o.finishedTasks = append(o.finishedTasks, t)
 	default:
 		t.since = now
 	}
 }
 
-func (o *Owner) lost() {
+func (o *Owner) ownershipLost() {
 	o.table.listener = nil
 	o.table.Reset()
-	for _, w := range o.waiting {
+	for _, w := range o.pendingReplies {
 		unknown := result.New(result.CommitUnknown, "ownership was lost before the commit was confirmed")
 		o.out.Replies = append(o.out.Replies, Reply{Ticket: w.reply.Ticket, Err: unknown})
 	}
-	o.waiting = nil
+	o.pendingReplies = nil
 	o.resetVolatile()
-	o.decide(Decision{What: "ownership-lost", Reason: "lease or term lost, or handed over"})
+	o.recordDecision(Decision{What: "ownership-lost", Reason: "lease or term lost, or handed over"})
 }
 
-func (o *Owner) decide(d Decision) {
+func (o *Owner) recordDecision(d Decision) {
 	d.Term = o.core.Term()
 	o.out.Decisions = append(o.out.Decisions, d)
 }
@@ -363,21 +363,21 @@
 func (o *Owner) onChange(t *task, from Phase) {
 	switch {
 	case from == Pending && t.phase == Assigned:
-		o.hold(t)
+		o.reserve(t)
 	case from == Assigned && t.phase != Assigned:
 		o.release(t)
 	}
 }
 
-func (o *Owner) hold(t *task) {
-	w := o.worker(t.worker)
+func (o *Owner) reserve(t *task) {
+	w := o.ensureWorker(t.worker)
 	w.view.Free = w.view.Free.Sub(t.given)
 	w.view.Kinds[t.spec.GetKind()]++
 	o.shares.Hold(t.spec.GetGroup(), t.given)
 }
 
 func (o *Owner) release(t *task) {
-	w := o.worker(t.worker)
+	w := o.ensureWorker(t.worker)
 	w.view.Free = w.view.Free.Add(t.given)
 	if w.view.Kinds[t.spec.GetKind()]--; w.view.Kinds[t.spec.GetKind()] <= 0 {
 		delete(w.view.Kinds, t.spec.GetKind())
@@ -386,15 +386,15 @@
 }
 
 func (o *Owner) flushReplies() {
-	rest := o.waiting[:0]
-	for _, w := range o.waiting {
+	rest := o.pendingReplies[:0]
+	for _, w := range o.pendingReplies {
 		if w.pos <= o.core.Committed() {
 			o.out.Replies = append(o.out.Replies, w.reply)
 			continue
 		}
 		rest = append(rest, w)
 	}
-	o.waiting = rest
+	o.pendingReplies = rest
 }
 
 // answerAfter sends a reply once the records up to pos are committed.
@@ -403,21 +403,21 @@
 		o.out.Replies = append(o.out.Replies, reply)
 		return
 	}
-	o.waiting = append(o.waiting, waitingReply{pos, reply})
+	o.pendingReplies = append(o.pendingReplies, pendingReply{pos, reply})
 }
 
 // removeExpired removes finished tasks after their retention period.
-func (o *Owner) forget(now time.Duration) {
+func (o *Owner) removeExpired(now time.Duration) {
 	if !o.mayDecide(now) {
 		return
 	}
 	n := 0
-	for n < len(o.done) && now-o.done[n].doneAt >= o.params.Retain {
+	for n < len(o.finishedTasks) && now-o.finishedTasks[n].doneAt >= o.params.Retain {
 		o.propose(&journalv1.TaskRecord{
-			Id:     o.done[n].spec.GetId(),
+			Id:     o.finishedTasks[n].spec.GetId(),
 			Change: &journalv1.TaskRecord_Forgotten{Forgotten: &journalv1.Forgotten{}},
 		})
 		n++
 	}
-	o.done = o.done[n:]
+	o.finishedTasks = o.finishedTasks[n:]
 }
--- a/cell/owner_fuzz_test.go
+++ b/cell/owner_fuzz_test.go
@@ -16,14 +16,14 @@
 	_ = flag.Set("rapid.nofailfile", "true")
 }
 
-var longRuns = flag.Int("cell.runs", 0, "number of additional runs of TestOwnerSeeds, with other seeds")
+var extraRuns = flag.Int("cell.runs", 0, "number of additional runs of TestOwnerSeeds, with other seeds")
 
 const simSteps = 120
 
-// TestOwnerPromises checks that, whatever messages are lost, late or duplicated
+// TestOwnerInvariants checks that, whatever messages are lost, late or duplicated
 // and whatever nodes are paused or killed, no VM is over-committed, no task runs in
 // two places and none is lost.
-func TestOwnerPromises(t *testing.T) {
+func TestOwnerInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pick := func(label string, n int) int { return rapid.IntRange(0, n-1).Draw(t, label) }
 		s := newSim(pick, mutation{faults: standin.WorkerFaults{NoCapacityCheck: true}})
@@ -39,7 +39,7 @@
 }
 
 // runSeed runs one simulation from a seed until an invariant is violated.
-func seeded(seed uint64, m mutation) (*sim, error) {
+func runSeed(seed uint64, m mutation) (*sim, error) {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	m.faults.NoCapacityCheck = true
 	s := newSim(func(_ string, n int) int { return rng.IntN(n) }, m)
@@ -54,13 +54,13 @@
 // TestOwnerSeeds runs many more histories than rapid does, from fixed seeds, and
 // checks that they reach takeovers and evictions.
 func TestOwnerSeeds(t *testing.T) {
-	runs := 300 + *longRuns
+	runs := 300 + *extraRuns
 	if testing.Short() {
 		runs = 40
 	}
 	takeovers, evicted, acked := 0, 0, 0
 	for seed := range uint64(runs) {
-		s, err := seeded(seed, mutation{})
+		s, err := runSeed(seed, mutation{})
 		if err != nil {
 			t.Fatalf("seed %d, step %d: %v", seed, s.steps, err)
 		}
@@ -74,18 +74,18 @@
 	}
 }
 
-// TestMutationsAreFound removes one safeguard at a time; the simulation must detect each.
-func TestMutationsAreFound(t *testing.T) {
+// TestMutationsAreDetected removes one safeguard at a time; the simulation must detect each.
+func TestMutationsAreDetected(t *testing.T) {
 	mutations := map[string]mutation{
 		"worker ignores the term":           {faults: standin.WorkerFaults{NoTermCheck: true}},
 		"worker ignores sequence numbers":   {faults: standin.WorkerFaults{NoSeqCheck: true}},
 		"worker ignores the expiry":         {faults: standin.WorkerFaults{NoExpiryCheck: true}},
 		"worker ignores its incarnation":    {faults: standin.WorkerFaults{NoBootCheck: true}},
 		"owner goes on after its lease":     {noSelfFence: true},
-		"start is sent before its commit":   {startEarly: true},
-		"takeover does not wait":            {noWait: true},
-		"owner books twice the room":        {overBooks: true},
-		"end is acknowledged before commit": {ackEarly: true},
+		"start is sent before its commit":   {startBeforeCommit: true},
+		"takeover does not wait":            {noTakeoverWait: true},
+		"owner books twice the room":        {doubleCapacity: true},
+		"end is acknowledged before commit": {ackBeforeCommit: true},
 	}
 	const maxRuns = 400
 	for name, m := range mutations {
@@ -93,7 +93,7 @@
 			t.Parallel()
 			steps := 0
 			for seed := range uint64(maxRuns) {
-				s, err := seeded(seed, m)
+				s, err := runSeed(seed, m)
 				steps += s.steps
 				if err != nil {
 					t.Logf("found by seed %d after %d steps in all: %v", seed, steps, err)
--- a/cell/owner_test.go
+++ b/cell/owner_test.go
@@ -7,7 +7,7 @@
 
 // TestUncommittedEndsCauseNoCallLoop guards against repeated calls while an end
 // waits for its commit, when the worker would answer each idle call at once.
-func TestUnacknowledgedEndsDontSpin(t *testing.T) {
+func TestUncommittedEndsCauseNoCallLoop(t *testing.T) {
 	rolls := 0
 	s := newSim(func(_ string, n int) int { rolls++; return rolls % n }, mutation{})
 	if err := s.run(2*time.Second, -1); err != nil {
--- a/cell/planning.go
+++ b/cell/planning.go
@@ -12,12 +12,12 @@
 
 const (
 	// maxOfferedPerGroup is how many waiting tasks of a group a plan considers.
-	offeredPerGroup = 64
+	maxOfferedPerGroup = 64
 	// replanInterval is the time after which a plan is made without any change,
 	// as the time that tasks have waited counts.
-	replanEvery = 5 * time.Second
+	replanInterval = 5 * time.Second
 	// maxEvictionBurst is how many evictions may happen at once.
-	budgetBurst = 16
+	maxEvictionBurst = 16
 )
 
 // plan runs the planner and starts and evicts tasks by its result.
@@ -26,41 +26,41 @@
 	if !o.mayDecide(now) || now-o.lastPlan < o.params.PlanEvery {
 		return
 	}
-	if !o.dirty && now-o.lastPlan < replanEvery {
+	if !o.planNeeded && now-o.lastPlan < replanInterval {
 		return
 	}
 	o.lastPlan = now
-	o.dirty = false
+	o.planNeeded = false
 	o.refillBudget(now)
 	snap := &scheduler.Snapshot{
 		Workers:       o.views(),
-		Queues:        o.offers(now),
+		Queues:        o.queueCandidates(now),
 		Shares:        o.shares,
-		EvictionsLeft: int(o.budget),
+		EvictionsLeft: int(o.evictionBudget),
 	}
-	o.carryOut(now, o.planner.Plan(snap))
+	o.applyPlan(now, o.planner.Plan(snap))
 }
 
 func (o *Owner) refillBudget(now time.Duration) {
-	passed := (now - o.budgetAt).Minutes()
-	o.budgetAt = now
-	o.budget = min(o.budget+passed*o.params.EvictionsPerMinute, budgetBurst)
+	passed := (now - o.budgetUpdatedAt).Minutes()
+	o.budgetUpdatedAt = now
+	o.evictionBudget = min(o.evictionBudget+passed*o.params.EvictionsPerMinute, maxEvictionBurst)
 }
 
 // views returns the planner's views of all workers, in order of id.
 func (o *Owner) views() []*scheduler.Worker {
 	out := make([]*scheduler.Worker, 0, len(o.workers))
-	for _, w := range o.sorted() {
+	for _, w := range o.sortedWorkers() {
 		out = append(out, w.view)
 	}
 	return out
 }
 
-func (o *Owner) offers(now time.Duration) []*scheduler.Queue {
+func (o *Owner) queueCandidates(now time.Duration) []*scheduler.Queue {
 	var queues []*scheduler.Queue
 	urgent := false
 	for group, q := range o.table.queues {
-		tasks := q.first(offeredPerGroup, func(t *task) bool { return !t.unfit && !t.evictingFor })
+		tasks := q.first(maxOfferedPerGroup, func(t *task) bool { return !t.unfit && !t.awaitingEviction })
 		if len(tasks) == 0 {
 			continue
 		}
@@ -129,7 +129,7 @@
 	return t.running && !t.stopping && !t.spec.GetUrgent() && !t.spec.GetNotRepeatable()
 }
 
-func (o *Owner) carryOut(now time.Duration, p scheduler.Plan) {
+func (o *Owner) applyPlan(now time.Duration, p scheduler.Plan) {
 	for _, pl := range p.Placements {
 		o.startPlaced(now, pl)
 	}
@@ -137,7 +137,7 @@
 		o.evict(ev)
 	}
 	for _, wt := range p.Waiting {
-		o.noteWaiting(wt)
+		o.recordWaiting(wt)
 	}
 }
 
@@ -145,13 +145,13 @@
 // planner has already reserved the capacity; that is undone first, so that only
 // the record itself changes the accounts.
 func (o *Owner) startPlaced(now time.Duration, pl scheduler.Placement) {
-	o.giveBack(pl)
+	o.undoPlacement(pl)
 	t, w := o.table.tasks[pl.Task.ID], o.workers[pl.Worker.ID]
 	if t == nil || t.phase != Pending || w == nil || !pl.Task.Ask.Fits(w.view.Free) {
-		o.dirty = true
+		o.planNeeded = true
 		return
 	}
-	delete(o.reasons, pl.Task.ID)
+	delete(o.waitReasons, pl.Task.ID)
 	t.startPos = o.propose(&journalv1.TaskRecord{
 		Id: pl.Task.ID,
 		Change: &journalv1.TaskRecord_Started{Started: &journalv1.Started{
@@ -159,13 +159,13 @@
 		}},
 	})
 	t.since = now
-	w.untold = append(w.untold, t.startPos)
+	w.pendingCommits = append(w.pendingCommits, t.startPos)
 	o.recordKinds(now, w)
 	o.counters.Started++
-	o.decide(Decision{What: "start", Task: pl.Task.ID, Attempt: t.attempt, Worker: w.id, Score: pl.Score, Fitting: pl.Fitting})
+	o.recordDecision(Decision{What: "start", Task: pl.Task.ID, Attempt: t.attempt, Worker: w.id, Score: pl.Score, Fitting: pl.Fitting})
 }
 
-func (o *Owner) giveBack(pl scheduler.Placement) {
+func (o *Owner) undoPlacement(pl scheduler.Placement) {
 	pl.Worker.Free = pl.Worker.Free.Add(pl.Task.Ask)
 	if pl.Worker.Kinds[pl.Task.Kind]--; pl.Worker.Kinds[pl.Task.Kind] <= 0 {
 		delete(pl.Worker.Kinds, pl.Task.Kind)
@@ -178,33 +178,33 @@
 	if t == nil || t.phase != Assigned || !o.evictable(t) {
 		return
 	}
-	o.budget--
+	o.evictionBudget--
 	o.stop(t)
 	reason := "frees capacity for urgent task " + ev.For
 	if ev.For == "" {
 		reason = "slows a service down"
 	}
 	if u := o.table.tasks[ev.For]; u != nil {
-		u.evictingFor = true
-		o.workers[t.worker].makingRoomFor = append(o.workers[t.worker].makingRoomFor, u)
+		u.awaitingEviction = true
+		o.workers[t.worker].freeingCapacityFor = append(o.workers[t.worker].freeingCapacityFor, u)
 	}
-	o.decide(Decision{What: "evict", Task: ev.Task, Attempt: t.attempt, Worker: ev.Worker, Reason: reason})
+	o.recordDecision(Decision{What: "evict", Task: ev.Task, Attempt: t.attempt, Worker: ev.Worker, Reason: reason})
 }
 
 // stop asks the task's worker to checkpoint and stop the attempt.
 func (o *Owner) stop(t *task) {
 	t.stopping = true
-	o.worker(t.worker).dirty = true
+	o.ensureWorker(t.worker).callNeeded = true
 }
 
-func (o *Owner) noteWaiting(wt scheduler.Waiting) {
+func (o *Owner) recordWaiting(wt scheduler.Waiting) {
 	t := o.table.tasks[wt.Task.ID]
 	if t == nil || t.phase != Pending {
 		return
 	}
-	if o.reasons[wt.Task.ID] != wt.Reason {
-		o.reasons[wt.Task.ID] = wt.Reason
-		o.decide(Decision{What: "wait", Task: wt.Task.ID, Attempt: t.attempt, Reason: string(wt.Reason)})
+	if o.waitReasons[wt.Task.ID] != wt.Reason {
+		o.waitReasons[wt.Task.ID] = wt.Reason
+		o.recordDecision(Decision{What: "wait", Task: wt.Task.ID, Attempt: t.attempt, Reason: string(wt.Reason)})
 	}
 	if wt.Reason == scheduler.ReasonFitsNoVM {
 		// The task's state and code report it; it is planned again when the VMs change.
--- a/cell/replay/replay.go
+++ b/cell/replay/replay.go
@@ -116,28 +116,28 @@
 )
 
 type player struct {
-	trace   *Trace
-	now     time.Duration
-	kv      *standin.KVStore
-	owner   *cell.Owner
-	workers []*standin.Worker
-	gone    map[int]bool
-	held    map[string]cell.Sync
-	kinds   map[string]Kind
-	ticket  uint64
-	count   map[string]int
-	asked   map[string]time.Duration
-	slow    []float64
-	shareN  int
-	out     Outcome
-	err     error
+	trace           *Trace
+	now             time.Duration
+	kv              *standin.KVStore
+	owner           *cell.Owner
+	workers         []*standin.Worker
+	stoppedVMs      map[int]bool
+	heldCalls       map[string]cell.Sync
+	kinds           map[string]Kind
+	ticket          uint64
+	submitted       map[string]int
+	submittedAt     map[string]time.Duration
+	slowdownFactors []float64
+	shareSamples    int
+	out             Outcome
+	err             error
 }
 
 // Play replays a trace with a policy.
 func Play(t *Trace, policy Policy) (Outcome, error) {
 	p := &player{
-		trace: t, now: time.Hour, gone: map[int]bool{}, held: map[string]cell.Sync{}, kinds: map[string]Kind{},
-		count: map[string]int{}, asked: map[string]time.Duration{}, out: Outcome{Policy: policy.Name},
+		trace: t, now: time.Hour, stoppedVMs: map[int]bool{}, heldCalls: map[string]cell.Sync{}, kinds: map[string]Kind{},
+		submitted: map[string]int{}, submittedAt: map[string]time.Duration{}, out: Outcome{Policy: policy.Name},
 	}
 	if err := p.build(policy); err != nil {
 		return p.out, err
@@ -147,18 +147,18 @@
 	start := p.now
 	for nextSample := p.now; p.now < end; p.now += tick {
 		for len(lines) > 0 && p.now-start >= time.Duration(lines[0].AtS)*time.Second {
-			p.line(lines[0])
+			p.applyLine(lines[0])
 			lines = lines[1:]
 		}
 		if p.now >= nextSample {
 			nextSample += sampleEvery
 			p.sample()
 		}
-		if err := p.round(); err != nil {
+		if err := p.exchangeMessages(); err != nil {
 			return p.out, err
 		}
 	}
-	p.sum()
+	p.summarize()
 	return p.out, p.err
 }
 
@@ -208,7 +208,7 @@
 func (p *player) vms() []fleet.VM {
 	var out []fleet.VM
 	for i, w := range p.workers {
-		if !p.gone[i] {
+		if !p.stoppedVMs[i] {
 			out = append(out, fleet.VM{
 				ID: w.ID, State: fleet.VMLive, Capacity: p.trace.Capacity, Reserved: p.trace.Reserved, Worker: w.ID,
 				Endpoints: []fleet.EndpointAddr{{Service: p.trace.Service, Address: w.ID}},
@@ -235,14 +235,14 @@
 	for name, n := range kinds {
 		factor += float64(n) * p.kinds[name].Slowdown * load
 	}
-	p.slow = append(p.slow, factor)
+	p.slowdownFactors = append(p.slowdownFactors, factor)
 	return []fleet.Slowdown{{Service: p.trace.Service, Factor: factor, Load: load}}
 }
 
 // sample makes all workers measure, and records the groups' resource use.
 func (p *player) sample() {
 	for i, w := range p.workers {
-		if !p.gone[i] {
+		if !p.stoppedVMs[i] {
 			w.Measure(p.now)
 		}
 	}
@@ -266,13 +266,13 @@
 	}
 	for name, n := range waiting {
 		if n > 0 {
-			p.shareN++
+			p.shareSamples++
 			p.out.ShareError += math.Abs(float64(use[name].CPUMilli)/held - p.trace.Groups[name]/shares)
 		}
 	}
 }
 
-func (p *player) line(l Line) {
+func (p *player) applyLine(l Line) {
 	names := make([]string, 0, len(l.Submit))
 	for name := range l.Submit {
 		names = append(names, name)
@@ -291,7 +291,7 @@
 	for _, rack := range l.LoseRack {
 		for i := rack * p.trace.Rack; i < min((rack+1)*p.trace.Rack, len(p.workers)); i++ {
 			p.workers[i].Reboot(p.now)
-			p.gone[i] = true
+			p.stoppedVMs[i] = true
 		}
 	}
 	if len(l.LoseRack) > 0 {
@@ -304,13 +304,13 @@
 func (p *player) submit(k Kind, n int) {
 	var specs []*journalv1.TaskSpec
 	for range n {
-		i := p.count[k.Name]
-		p.count[k.Name]++
+		i := p.submitted[k.Name]
+		p.submitted[k.Name]++
 		work := k.WorkS * (0.5 + float64(i*7919%1000)/1000)
 		job, err := json.Marshal(standin.Job{WorkMS: int64(1000 * work), Used: k.Used})
 		p.err = errors.Trace(err)
 		id := fmt.Sprintf("%s-%05d", k.Name, i)
-		p.asked[id] = p.now
+		p.submittedAt[id] = p.now
 		specs = append(specs, &journalv1.TaskSpec{
 			Id: id, Kind: k.Name, Group: k.Group, Urgent: k.Urgent, Payload: job, Labels: map[string]string{"kind": k.Name},
 			Request: &journalv1.Resources{CpuMilli: k.Declared.CPUMilli, MemoryMib: k.Declared.MemoryMiB, Accelerators: k.Declared.Accelerators},
@@ -321,9 +321,9 @@
 }
 
 // exchangeMessages delivers all messages of one tick.
-func (p *player) round() error {
+func (p *player) exchangeMessages() error {
 	p.owner.Tick(p.now)
-	p.wakeHeld()
+	p.answerHeldCalls()
 	for range maxRounds {
 		cmds := p.owner.Take()
 		for _, err := range cmds.Errs {
@@ -331,7 +331,7 @@
 		}
 		for _, r := range cmds.Replies {
 			for _, t := range r.Tasks {
-				p.sumTask(t)
+				p.countTask(t)
 			}
 		}
 		for _, d := range cmds.Decisions {
@@ -361,7 +361,7 @@
 // maxRounds bounds the rounds of calls and answers within one tick.
 const maxRounds = 200
 
-func (p *player) index(id string) int {
+func (p *player) workerIndex(id string) int {
 	var i int
 	_, err := fmt.Sscanf(id, "vm-%d", &i)
 	p.err = errors.Trace(err)
@@ -369,58 +369,58 @@
 }
 
 func (p *player) sync(s cell.Sync) {
-	i := p.index(s.Worker)
-	if p.gone[i] {
+	i := p.workerIndex(s.Worker)
+	if p.stoppedVMs[i] {
 		p.owner.WorkerAnswer(p.now, s.Worker, s.Request.Term, s.Request.Seq, nil, errors.New("gone"))
 		return
 	}
 	reply := p.workers[i].Sync(p.now, s.Request)
-	if s.Request.WaitMS > 0 && quiet(reply) {
-		p.held[s.Worker] = s
+	if s.Request.WaitMS > 0 && hasNoUpdates(reply) {
+		p.heldCalls[s.Worker] = s
 		return
 	}
-	delete(p.held, s.Worker)
+	delete(p.heldCalls, s.Worker)
 	p.owner.WorkerAnswer(p.now, s.Worker, s.Request.Term, s.Request.Seq, reply, nil)
 }
 
-func quiet(r *fleet.SyncReply) bool {
+func hasNoUpdates(r *fleet.SyncReply) bool {
 	return len(r.Ended)+len(r.Usage)+len(r.Slowdowns) == 0 && r.Refused == ""
 }
 
 // answerHeldCalls answers the calls that workers hold once there are updates.
-func (p *player) wakeHeld() {
+func (p *player) answerHeldCalls() {
 	for i, w := range p.workers {
-		s, ok := p.held[w.ID]
+		s, ok := p.heldCalls[w.ID]
 		if !ok {
 			continue
 		}
 		reply := w.Report(p.now, s.Request)
-		if p.gone[i] || !quiet(reply) {
-			delete(p.held, w.ID)
+		if p.stoppedVMs[i] || !hasNoUpdates(reply) {
+			delete(p.heldCalls, w.ID)
 			p.owner.WorkerAnswer(p.now, w.ID, s.Request.Term, s.Request.Seq, reply, nil)
 		}
 	}
 }
 
-func (p *player) sum() {
-	sort.Float64s(p.slow)
-	if n := len(p.slow); n > 0 {
-		p.out.SlowP50, p.out.SlowP95, p.out.SlowP99 = p.slow[n/2], p.slow[n*95/100], p.slow[n*99/100]
+func (p *player) summarize() {
+	sort.Float64s(p.slowdownFactors)
+	if n := len(p.slowdownFactors); n > 0 {
+		p.out.SlowP50, p.out.SlowP95, p.out.SlowP99 = p.slowdownFactors[n/2], p.slowdownFactors[n*95/100], p.slowdownFactors[n*99/100]
 	}
-	if p.shareN > 0 {
-		p.out.ShareError /= float64(p.shareN)
+	if p.shareSamples > 0 {
+		p.out.ShareError /= float64(p.shareSamples)
 	}
-	p.sumRuns()
+	p.measureRuns()
 	p.ticket++
 	p.owner.Get(p.now, p.ticket, "", labels.Everything())
 	// The reply waits for the commit of what it reports.
 	for range 4 {
 		p.now += tick
-		p.err = p.round()
+		p.err = p.exchangeMessages()
 	}
 }
 
-func (p *player) sumTask(t *journalv1.TaskState) {
+func (p *player) countTask(t *journalv1.TaskState) {
 	switch {
 	case cell.Phase(t.GetPhase()) != cell.Done:
 		p.out.Open++
@@ -435,7 +435,7 @@
 
 // measureRuns computes finished work, overlaps and start times from the workers'
 // run records.
-func (p *player) sumRuns() {
+func (p *player) measureRuns() {
 	byTask := map[string][]standin.Run{}
 	for _, w := range p.workers {
 		w.Running(p.now)
@@ -461,7 +461,7 @@
 			}
 		}
 		if k.Urgent {
-			urgent = append(urgent, runs[0].Began-p.asked[id])
+			urgent = append(urgent, runs[0].Began-p.submittedAt[id])
 		}
 	}
 	sort.Slice(urgent, func(i, j int) bool { return urgent[i] < urgent[j] })
--- a/cell/sim_test.go
+++ b/cell/sim_test.go
@@ -36,13 +36,13 @@
 
 // mutation removes one safeguard.
 type mutation struct {
-	noSelfFence bool
-	faults      standin.WorkerFaults
-	ackEarly    bool
-	startEarly  bool
-	noWait      bool
+	noSelfFence       bool
+	faults            standin.WorkerFaults
+	ackBeforeCommit   bool
+	startBeforeCommit bool
+	noTakeoverWait    bool
 	// doubleCapacity makes the owner assume twice the capacity of each VM.
-	overBooks bool
+	doubleCapacity bool
 }
 
 type node struct {
@@ -50,9 +50,9 @@
 	owner *Owner
 	dead  bool
 	// incarnation counts restarts: answers to a former incarnation are dropped.
-	life  int
-	skew  time.Duration
-	lease int64
+	incarnation int
+	skew        time.Duration
+	lease       int64
 	// storeCut: the node can't reach the store.
 	storeCut bool
 	store    []shard.Op
@@ -60,28 +60,28 @@
 }
 
 type sim struct {
-	pick    draw
-	mutated mutation
-	now     time.Duration
-	kv      *standin.KVStore
-	nodes   []*node
-	workers []*standin.Worker
-	cut     map[string]bool // worker unreachable, by node id + worker id
-	gone    map[string]bool
-	late    []func()
+	pick            draw
+	mutated         mutation
+	now             time.Duration
+	kv              *standin.KVStore
+	nodes           []*node
+	workers         []*standin.Worker
+	unreachable     map[string]bool // worker unreachable, by node id + worker id
+	stoppedVMs      map[string]bool
+	delayedMessages []func()
 	// acked are tasks whose submission was acknowledged; cancelled those whose
 	// cancellation was.
 	acked     map[string]bool
 	cancelled map[string]bool
 	specs     map[string]*journalv1.TaskSpec
-	tickets   map[uint64]ticketOf
+	tickets   map[uint64]ticketInfo
 	ticket    uint64
 	steps     int
 	takeovers int
 	evicted   int
 }
 
-type ticketOf struct {
+type ticketInfo struct {
 	id     string
 	cancel bool
 }
@@ -92,9 +92,9 @@
 
 func newSim(pick draw, m mutation) *sim {
 	s := &sim{
-		pick: pick, mutated: m, now: time.Hour, cut: map[string]bool{}, gone: map[string]bool{},
+		pick: pick, mutated: m, now: time.Hour, unreachable: map[string]bool{}, stoppedVMs: map[string]bool{},
 		acked: map[string]bool{}, cancelled: map[string]bool{}, specs: map[string]*journalv1.TaskSpec{},
-		tickets: map[uint64]ticketOf{},
+		tickets: map[uint64]ticketInfo{},
 	}
 	base := time.Unix(0, 0)
 	s.kv = standin.NewKVStore(func() time.Time { return base.Add(s.now) })
@@ -106,20 +106,20 @@
 	for i := range 2 {
 		n := &node{id: fmt.Sprintf("n%d", i), skew: time.Duration(i+1) * 1000 * time.Hour}
 		s.nodes = append(s.nodes, n)
-		s.boot(n)
+		s.startNode(n)
 	}
 	return s
 }
 
-func (s *sim) boot(n *node) {
-	n.life++
+func (s *sim) startNode(n *node) {
+	n.incarnation++
 	n.dead, n.lease, n.store, n.syncs = false, 0, nil, nil
 	p := DefaultParams(simCell, n.id)
 	p.TaskLease, p.OutageGrace, p.ClockMargin = simTaskLease, simGrace, simMargin
 	p.HeartbeatEvery, p.RetryEvery, p.PlanEvery = time.Second, 100*time.Millisecond, 0
 	p.EvictionsPerMinute, p.Retain = 600, time.Hour
-	p.NoSelfFence, p.NoStartCommit, p.NoAckCommit = s.mutated.noSelfFence, s.mutated.startEarly, s.mutated.ackEarly
-	p.NoTakeoverWait = s.mutated.noWait
+	p.NoSelfFence, p.NoStartCommit, p.NoAckCommit = s.mutated.noSelfFence, s.mutated.startBeforeCommit, s.mutated.ackBeforeCommit
+	p.NoTakeoverWait = s.mutated.noTakeoverWait
 	sp := shard.Params{
 		Name: "cell-" + simCell, Self: n.id, CommitEvery: 10 * time.Millisecond, RetryEvery: 50 * time.Millisecond,
 		MaxValueBytes: 600, SnapshotBytes: 2500, // small, so that snapshots and splits happen
@@ -135,11 +135,11 @@
 func (s *sim) vms() []fleet.VM {
 	var out []fleet.VM
 	capacity := simCapacity
-	if s.mutated.overBooks {
+	if s.mutated.doubleCapacity {
 		capacity = capacity.Add(simCapacity)
 	}
 	for _, w := range s.workers {
-		if !s.gone[w.ID] {
+		if !s.stoppedVMs[w.ID] {
 			out = append(out, fleet.VM{ID: w.ID, State: fleet.VMLive, Capacity: capacity, Worker: w.ID})
 		}
 	}
@@ -176,57 +176,57 @@
 }
 
 // delivery is how a message is delivered.
-type fate int
+type delivery int
 
 const (
-	arrives fate = iota
+	delivered delivery = iota
 	answerLost
 	dropped
-	comesLate
-	twice
-	numFates
+	delayed
+	duplicated
+	numDeliveries
 )
 
-func (s *sim) fate() fate {
+func (s *sim) pickDelivery() delivery {
 	// Most messages arrive, so that runs make progress.
 	if s.pick("ok", 4) > 0 {
-		return arrives
+		return delivered
 	}
-	return fate(s.pick("fate", int(numFates)))
+	return delivery(s.pick("fate", int(numDeliveries)))
 }
 
 // deliver sends a message. do executes it at the receiver and returns the
 // answer's delivery; fail reports to the sender that no answer came.
-func (s *sim) deliver(f fate, do func() func(), fail func()) {
+func (s *sim) deliver(f delivery, do func() func(), fail func()) {
 	switch f {
-	case arrives:
+	case delivered:
 		do()()
 	case answerLost:
 		do()
 		fail()
 	case dropped:
 		fail()
-	case comesLate:
-		s.late = append(s.late, func() { do() })
+	case delayed:
+		s.delayedMessages = append(s.delayedMessages, func() { do() })
 		fail()
-	case twice:
-		s.late = append(s.late, func() { do() })
+	case duplicated:
+		s.delayedMessages = append(s.delayedMessages, func() { do() })
 		do()()
 	}
 }
 
-func (s *sim) deliverStore(n *node, f fate) {
+func (s *sim) deliverStore(n *node, f delivery) {
 	if len(n.store) == 0 {
 		return
 	}
 	op := n.store[0]
 	n.store = n.store[1:]
-	incarnation := n.life
+	incarnation := n.incarnation
 	if n.storeCut {
 		f = dropped
 	}
 	answer := func(a shard.Answer) {
-		if n.life == incarnation && !n.dead {
+		if n.incarnation == incarnation && !n.dead {
 			n.owner.StoreAnswer(s.clock(n), a)
 		}
 	}
@@ -241,24 +241,24 @@
 	}, func() { answer(shard.Answer{ID: op.ID, Err: errors.Trace(kv.ErrUnavailable)}) })
 }
 
-func (s *sim) deliverSync(n *node, i int, f fate) {
+func (s *sim) deliverSync(n *node, i int, f delivery) {
 	if len(n.syncs) == 0 {
 		return
 	}
 	i %= len(n.syncs)
 	c := n.syncs[i]
 	n.syncs = append(n.syncs[:i:i], n.syncs[i+1:]...)
-	incarnation := n.life
+	incarnation := n.incarnation
 	answer := func(r *fleet.SyncReply, err error) {
-		if n.life == incarnation && !n.dead {
+		if n.incarnation == incarnation && !n.dead {
 			n.owner.WorkerAnswer(s.clock(n), c.Worker, c.Request.Term, c.Request.Seq, r, err)
 		}
 	}
-	if f == arrives && (s.cut[n.id+c.Worker] || s.gone[c.Worker]) {
+	if f == delivered && (s.unreachable[n.id+c.Worker] || s.stoppedVMs[c.Worker]) {
 		f = dropped
 	}
 	s.deliver(f, func() func() {
-		if s.gone[c.Worker] {
+		if s.stoppedVMs[c.Worker] {
 			return func() {}
 		}
 		r := s.worker(c.Worker).Sync(s.now, c.Request)
@@ -276,7 +276,7 @@
 }
 
 // keepAlive renews the node's lease as the entry's lease actor does.
-func (s *sim) keepAlive(n *node, f fate) {
+func (s *sim) keepAlive(n *node, f delivery) {
 	if n.storeCut {
 		return
 	}
@@ -285,13 +285,13 @@
 		err := s.kv.KeepAlive(context.Background(), n.lease)
 		if errors.Is(err, kv.ErrLeaseNotFound) {
 			n.lease = 0
-		} else if err == nil && f == arrives {
+		} else if err == nil && f == delivered {
 			n.owner.Core().SetLease(n.lease, sent+simStoreTTL-simMargin)
 		}
 	}
 	if n.lease == 0 {
 		id, err := s.kv.Grant(context.Background(), simStoreTTL)
-		if err == nil && f == arrives {
+		if err == nil && f == delivered {
 			n.lease = id
 			n.owner.Core().SetLease(id, sent+simStoreTTL-simMargin)
 		}
@@ -306,7 +306,7 @@
 		s.specs[id] = spec
 	}
 	s.ticket++
-	s.tickets[s.ticket] = ticketOf{id: id}
+	s.tickets[s.ticket] = ticketInfo{id: id}
 	n.owner.Submit(s.clock(n), s.ticket, []*journalv1.TaskSpec{spec})
 }
 
@@ -325,7 +325,7 @@
 func (s *sim) cancel(n *node, k int) {
 	id := fmt.Sprintf("t%d", k)
 	s.ticket++
-	s.tickets[s.ticket] = ticketOf{id: id, cancel: true}
+	s.tickets[s.ticket] = ticketInfo{id: id, cancel: true}
 	n.owner.Cancel(s.clock(n), s.ticket, id, nil)
 }
 
@@ -349,37 +349,37 @@
 			s.submit(s.ownerOr(n), s.pick("task", simTasks))
 		}
 	case a < 24:
-		return s.episode(s.ownerOr(n), w)
+		return s.runDelayedCalls(s.ownerOr(n), w)
 	case a < 25 && !n.dead:
 		s.cancel(n, s.pick("task", simTasks))
 	case a < 32 && !n.dead:
-		s.deliverStore(n, s.fate())
+		s.deliverStore(n, s.pickDelivery())
 	case a < 42 && !n.dead:
-		s.deliverSync(n, s.pick("sync", 8), s.fate())
+		s.deliverSync(n, s.pick("sync", 8), s.pickDelivery())
 	case a < 46:
-		s.runLate()
+		s.deliverDelayed()
 	case a < 48 && !n.dead:
-		s.keepAlive(n, s.fate())
+		s.keepAlive(n, s.pickDelivery())
 	case a < 50:
 		return s.handOver(n)
 	case a < 51:
-		s.kill(n)
+		s.killOrRestart(n)
 	case a < 55:
-		s.cut[n.id+w.ID] = !s.cut[n.id+w.ID]
+		s.unreachable[n.id+w.ID] = !s.unreachable[n.id+w.ID]
 	case a < 57:
 		n.storeCut = !n.storeCut
 	case a < 58:
 		s.kv.SetFaults(standin.KVFaults{Down: s.pick("down", 3) == 0})
 	case a < 59 && s.pick("reboot", 2) == 0:
 		w.Reboot(s.now)
-	case a < 60 && len(s.gone) == 0 && s.pick("stop", 8) == 0:
+	case a < 60 && len(s.stoppedVMs) == 0 && s.pick("stop", 8) == 0:
 		s.stopVM(w)
 	case a < 63:
-		s.hold(n)
+		s.delayAll(n)
 	default:
-		s.heal()
+		s.removeFaults()
 	}
-	return s.settleStep(n)
+	return s.tickAndCheck(n)
 }
 
 // ownerOr returns the node that may decide now, or n.
@@ -394,7 +394,7 @@
 
 // runDelayedCalls makes n's calls to w arrive late, after a fault of one of them:
 // the usual ways in which a task runs in two places.
-func (s *sim) episode(n *node, w *standin.Worker) error {
+func (s *sim) runDelayedCalls(n *node, w *standin.Worker) error {
 	if n.dead {
 		return nil
 	}
@@ -406,27 +406,27 @@
 		if err := s.collect(n); err != nil {
 			return err
 		}
-		s.deliverStore(n, arrives)
+		s.deliverStore(n, delivered)
 		s.now += 15 * time.Millisecond
 	}
 	for i := len(n.syncs) - 1; i >= 0; i-- {
-		f := arrives
+		f := delivered
 		if n.syncs[i].Worker == w.ID {
-			f = comesLate
+			f = delayed
 		}
 		s.deliverSync(n, i, f)
 	}
-	paused := s.befall(n, w)
+	paused := s.injectFault(n, w)
 	err := s.run(time.Duration(400<<s.pick("while", 7))*time.Millisecond, paused)
-	for len(s.late) > 0 && err == nil {
-		s.runLate()
+	for len(s.delayedMessages) > 0 && err == nil {
+		s.deliverDelayed()
 		err = s.check()
 	}
 	return err
 }
 
 // injectFault causes one drawn fault and returns the number of the paused node or -1.
-func (s *sim) befall(n *node, w *standin.Worker) int {
+func (s *sim) injectFault(n *node, w *standin.Worker) int {
 	switch s.pick("event", 6) {
 	case 0: // the owner is paused
 		for i, o := range s.nodes {
@@ -436,32 +436,32 @@
 		}
 	case 1: // the worker is cut off from all
 		for _, o := range s.nodes {
-			s.cut[o.id+w.ID] = true
+			s.unreachable[o.id+w.ID] = true
 		}
 	case 2: // the owner loses the store, others can't reach the worker
 		n.storeCut = true
 		for _, o := range s.nodes {
-			s.cut[o.id+w.ID] = o != n
+			s.unreachable[o.id+w.ID] = o != n
 		}
 	case 3: // the worker restarts and is cut off
 		w.Reboot(s.now)
 		for _, o := range s.nodes {
-			s.cut[o.id+w.ID] = true
+			s.unreachable[o.id+w.ID] = true
 		}
 	case 4:
-		s.kill(n)
+		s.killOrRestart(n)
 	default: // only the message is late
 	}
 	return -1
 }
 
-func (s *sim) runLate() {
-	if len(s.late) == 0 {
+func (s *sim) deliverDelayed() {
+	if len(s.delayedMessages) == 0 {
 		return
 	}
-	i := s.pick("late", len(s.late))
-	fn := s.late[i]
-	s.late = append(s.late[:i:i], s.late[i+1:]...)
+	i := s.pick("late", len(s.delayedMessages))
+	fn := s.delayedMessages[i]
+	s.delayedMessages = append(s.delayedMessages[:i:i], s.delayedMessages[i+1:]...)
 	fn()
 }
 
@@ -473,45 +473,45 @@
 	for _, o := range s.nodes {
 		o.owner.Core().SetWanted(o == n)
 	}
-	return s.settleStep(n)
+	return s.tickAndCheck(n)
 }
 
 // delayAll delays all calls to workers that a node has sent.
-func (s *sim) hold(n *node) {
+func (s *sim) delayAll(n *node) {
 	for range len(n.syncs) {
-		s.deliverSync(n, 0, comesLate)
+		s.deliverSync(n, 0, delayed)
 	}
 }
 
-func (s *sim) heal() {
-	s.cut = map[string]bool{}
+func (s *sim) removeFaults() {
+	s.unreachable = map[string]bool{}
 	for _, n := range s.nodes {
 		n.storeCut = false
 		n.owner.Core().SetWanted(true)
 		if n.dead {
-			s.boot(n)
+			s.startNode(n)
 		}
 	}
 	s.kv.SetFaults(standin.KVFaults{})
 }
 
-func (s *sim) kill(n *node) {
+func (s *sim) killOrRestart(n *node) {
 	if n.dead {
-		s.boot(n)
+		s.startNode(n)
 		return
 	}
 	n.dead = true
 	// The messages that it sent before may still arrive.
 	for _, c := range n.syncs {
-		s.late = append(s.late, func() {
-			if !s.gone[c.Worker] {
+		s.delayedMessages = append(s.delayedMessages, func() {
+			if !s.stoppedVMs[c.Worker] {
 				s.worker(c.Worker).Sync(s.now, c.Request)
 			}
 		})
 	}
 	for _, op := range n.store {
 		if op.Txn != nil {
-			s.late = append(s.late, func() { _, _ = s.kv.Do(context.Background(), *op.Txn) })
+			s.delayedMessages = append(s.delayedMessages, func() { _, _ = s.kv.Do(context.Background(), *op.Txn) })
 		}
 	}
 	n.store, n.syncs = nil, nil
@@ -519,13 +519,13 @@
 
 func (s *sim) stopVM(w *standin.Worker) {
 	w.Reboot(s.now)
-	s.gone[w.ID] = true
+	s.stoppedVMs[w.ID] = true
 	for _, n := range s.nodes {
 		n.owner.SetVMs(s.clock(n), s.vms())
 	}
 }
 
-func (s *sim) settleStep(n *node) error {
+func (s *sim) tickAndCheck(n *node) error {
 	if !n.dead {
 		n.owner.Tick(s.clock(n))
 		if err := s.collect(n); err != nil {
@@ -543,17 +543,17 @@
 			if n.dead || i == paused {
 				continue
 			}
-			s.keepAlive(n, arrives)
+			s.keepAlive(n, delivered)
 			n.owner.Tick(s.clock(n))
 			for range 4 {
 				if err := s.collect(n); err != nil {
 					return err
 				}
 				for range len(n.store) {
-					s.deliverStore(n, arrives)
+					s.deliverStore(n, delivered)
 				}
 				for range len(n.syncs) {
-					s.deliverSync(n, 0, arrives)
+					s.deliverSync(n, 0, delivered)
 				}
 			}
 		}
@@ -606,7 +606,7 @@
 // finish removes all faults and checks that each acknowledged task has ended
 // exactly once.
 func (s *sim) finish() error {
-	s.heal()
+	s.removeFaults()
 	// The bound suffices for all tasks one after the other on one VM.
 	var err error
 	for range 20 {
--- a/cell/sync.go
+++ b/cell/sync.go
@@ -13,12 +13,12 @@
 	if !o.mayRenew(now) {
 		return
 	}
-	for _, w := range o.sorted() {
-		w.noticeCommits(o.core.Committed())
-		if w.address == "" || now < w.notBefore || w.inFlight && !(w.dirty && w.idleSync) {
+	for _, w := range o.sortedWorkers() {
+		w.updateCommitted(o.core.Committed())
+		if w.address == "" || now < w.notBefore || w.inFlight && !(w.callNeeded && w.idleSync) {
 			continue
 		}
-		if !w.dirty && len(w.acks) > 0 && now-w.clockAt < o.params.HeartbeatEvery {
+		if !w.callNeeded && len(w.acks) > 0 && now-w.clockAt < o.params.HeartbeatEvery {
 			continue // the worker would answer at once with ends whose commit is pending
 		}
 		if !w.inFlight && o.inFlight >= o.params.WorkerCalls {
@@ -30,21 +30,21 @@
 
 // updateCommitted marks the worker for a call once records that concern it are
 // durable.
-func (w *worker) noticeCommits(committed uint64) {
+func (w *worker) updateCommitted(committed uint64) {
 	n := 0
-	for n < len(w.untold) && w.untold[n] <= committed {
+	for n < len(w.pendingCommits) && w.pendingCommits[n] <= committed {
 		n++
 	}
 	if n > 0 {
-		w.untold = w.untold[n:]
-		w.dirty = true
+		w.pendingCommits = w.pendingCommits[n:]
+		w.callNeeded = true
 	}
 }
 
 func (o *Owner) sync(now time.Duration, w *worker) {
 	w.seq++
 	req := &fleet.SyncRequest{
-		Cell: o.params.Cell, Term: o.core.Term(), Seq: w.seq, Boot: w.boot, Full: w.needFull,
+		Cell: o.params.Cell, Term: o.core.Term(), Seq: w.seq, Boot: w.boot, Full: w.fullListNeeded,
 	}
 	if w.boot != 0 {
 		o.renew(w, req)
@@ -54,12 +54,12 @@
 		o.inFlight++
 	}
 	w.inFlight = true
-	w.askedFull = w.needFull
-	w.idleSync = !w.dirty && !w.needFull
+	w.fullListRequested = w.fullListNeeded
+	w.idleSync = !w.callNeeded && !w.fullListNeeded
 	if w.idleSync {
 		req.WaitMS = o.params.HeartbeatEvery.Milliseconds()
 	}
-	w.dirty = false
+	w.callNeeded = false
 	o.out.Syncs = append(o.out.Syncs, Sync{Worker: w.id, Address: w.address, Request: req})
 }
 
@@ -101,7 +101,7 @@
 // list has not started there, and sending the start again is safe.
 func (o *Owner) mayStart(now time.Duration, w *worker, t *task) bool {
 	committed := t.startPos <= o.core.Committed() || o.params.NoStartCommit
-	return !t.running && !w.needFull && t.boot == w.boot && committed && o.mayDecide(now)
+	return !t.running && !w.fullListNeeded && t.boot == w.boot && committed && o.mayDecide(now)
 }
 
 func startOf(t *task) fleet.Start {
@@ -115,15 +115,15 @@
 // last call counts; it reports everything that earlier ones would.
 func (o *Owner) WorkerAnswer(now time.Duration, id string, term, seq uint64, reply *fleet.SyncReply, err error) {
 	w := o.workers[id]
-	if !o.wasOwning || term != o.core.Term() || w == nil || seq != w.seq || !w.inFlight {
+	if !o.owning || term != o.core.Term() || w == nil || seq != w.seq || !w.inFlight {
 		return
 	}
 	w.inFlight = false
 	o.inFlight--
 	if err != nil || reply.Refused != "" {
 		w.notBefore = now + o.params.RetryEvery
-		w.dirty = true
-		w.needFull = true
+		w.callNeeded = true
+		w.fullListNeeded = true
 		o.Tick(now)
 		return
 	}
@@ -137,16 +137,16 @@
 		o.handleRestart(now, w, reply.Boot)
 	}
 	w.clockMS, w.clockAt = reply.ClockMS, now
-	w.lapsed = false
+	w.leaseEnded = false
 	ended := o.handleEnded(now, w, reply.Ended)
 	o.markStarted(w, ended)
-	o.endNeverBegun(now, w)
-	if w.askedFull {
-		o.takeList(w, reply.Running)
+	o.endNeverStarted(now, w)
+	if w.fullListRequested {
+		o.applyRunningList(w, reply.Running)
 	} else if reply.RunningHash != o.runningHash(w) {
-		w.needFull, w.dirty = true, true
+		w.fullListNeeded, w.callNeeded = true, true
 	}
-	o.learn(now, w, reply)
+	o.applySamples(now, w, reply)
 }
 
 // handleRestart handles a worker's first answer under this term, or a restart.
@@ -158,7 +158,7 @@
 		w.leaseEnd = now + o.params.TaskLease + o.params.ClockMargin
 	}
 	w.boot = boot
-	w.needFull = true
+	w.fullListNeeded = true
 	for _, t := range o.onWorker(w.id) {
 		if t.boot != boot {
 			o.attemptLost(now, t, "its worker has restarted")
@@ -183,7 +183,7 @@
 		pos, known := w.acks[r.AttemptRef]
 		if !known {
 			pos = o.core.Proposed()
-			w.untold = append(w.untold, pos)
+			w.pendingCommits = append(w.pendingCommits, pos)
 		}
 		acks[r.AttemptRef] = pos
 	}
@@ -205,7 +205,7 @@
 // endNeverStarted ends attempts that were to be stopped and that the worker does
 // not list: had they started, it would list them until they are acknowledged, and
 // the check of sequence numbers rejects earlier starts from now on.
-func (o *Owner) endNeverBegun(now time.Duration, w *worker) {
+func (o *Owner) endNeverStarted(now time.Duration, w *worker) {
 	for _, ref := range w.stops {
 		t := o.table.onWorker[w.id][ref.Task]
 		if t != nil && t.attempt == ref.Attempt {
@@ -227,30 +227,30 @@
 
 // applyRunningList processes a full list of what runs on the worker. Attempts that
 // the table doesn't have there are stopped, and count as used capacity until then.
-func (o *Owner) takeList(w *worker, running []fleet.Report) {
-	w.needFull = false
+func (o *Owner) applyRunningList(w *worker, running []fleet.Report) {
+	w.fullListNeeded = false
 	for _, t := range o.table.onWorker[w.id] {
 		t.running = false
 	}
-	w.view.Free = w.view.Free.Add(w.foreign)
-	w.foreign, w.orphans = fleet.Resources{}, nil
+	w.view.Free = w.view.Free.Add(w.orphanResources)
+	w.orphanResources, w.orphans = fleet.Resources{}, nil
 	for _, r := range running {
 		t := o.table.onWorker[w.id][r.Task]
 		if t != nil && t.attempt == r.Attempt {
 			t.running = true
 			continue
 		}
-		w.foreign = w.foreign.Add(r.Given)
+		w.orphanResources = w.orphanResources.Add(r.Given)
 		w.orphans = append(w.orphans, r.AttemptRef)
 	}
-	w.view.Free = w.view.Free.Sub(w.foreign)
+	w.view.Free = w.view.Free.Sub(w.orphanResources)
 	// Orphans are stopped by the next call, and the list after it shows whether
 	// they are gone.
-	w.needFull = len(w.orphans) > 0
-	w.dirty = w.dirty || w.needFull || o.startsDue(w)
+	w.fullListNeeded = len(w.orphans) > 0
+	w.callNeeded = w.callNeeded || w.fullListNeeded || o.hasUnstarted(w)
 }
 
-func (o *Owner) startsDue(w *worker) bool {
+func (o *Owner) hasUnstarted(w *worker) bool {
 	for _, t := range o.table.onWorker[w.id] {
 		if !t.running {
 			return true
--- a/cell/table.go
+++ b/cell/table.go
@@ -40,24 +40,24 @@
 // task is a row of the table. The first part of its fields is in the journal; the
 // second is known to this owner only.
 type task struct {
-	spec       *journalv1.TaskSpec
-	phase      Phase
-	attempt    uint32 // number of the current or last attempt
-	worker     string // where the current attempt is
-	boot       uint64 // the incarnation it was started on
-	given      fleet.Resources
-	checkpoint []byte
-	cancel     bool
-	code       result.Code
-	detail     string
-	evictions  uint32
-	failures   uint32
-	resumes    uint32
+	spec            *journalv1.TaskSpec
+	phase           Phase
+	attempt         uint32 // number of the current or last attempt
+	worker          string // where the current attempt is
+	boot            uint64 // the incarnation it was started on
+	given           fleet.Resources
+	checkpoint      []byte
+	cancelRequested bool
+	code            result.Code
+	detail          string
+	evictions       uint32
+	failures        uint32
+	resumes         uint32
 
 	// seq orders tasks by submission.
 	seq uint64
 	// pos is the journal position of the task's last record.
-	pos uint64
+	lastRecordPos uint64
 	// startPos is the journal position of the attempt's start. A worker is sent
 	// the start only once that is committed.
 	startPos uint64
@@ -73,7 +73,7 @@
 	failedOn []string
 	unfit    bool // no VM is large enough or matches the selector
 	// awaitingEviction: tasks are being evicted to free capacity for this one.
-	evictingFor bool
+	awaitingEviction bool
 }
 
 func (t *task) ref() fleet.AttemptRef {
@@ -133,7 +133,7 @@
 	case *journalv1.TaskRecord_Finished:
 		tb.finish(t, c.Finished)
 	case *journalv1.TaskRecord_CancelRequested:
-		t.cancel = true
+		t.cancelRequested = true
 	case *journalv1.TaskRecord_Forgotten:
 		delete(tb.tasks, rec.GetId())
 	default:
@@ -175,10 +175,10 @@
 	t.worker = s.GetWorker()
 	t.boot = s.GetBoot()
 	t.given = fromProto(s.GetGiven())
-	t.running, t.stopping, t.throttled, t.unfit, t.evictingFor = false, false, false, false, false
+	t.running, t.stopping, t.throttled, t.unfit, t.awaitingEviction = false, false, false, false, false
 	t.code = 0
 	tb.index(t)
-	tb.changed(t, from)
+	tb.notifyListener(t, from)
 }
 
 func (tb *table) index(t *task) {
@@ -213,7 +213,7 @@
 	default:
 	}
 	tb.enqueue(t)
-	tb.changed(t, from)
+	tb.notifyListener(t, from)
 }
 
 func (tb *table) finish(t *task, f *journalv1.Finished) {
@@ -226,10 +226,10 @@
 	t.detail = f.GetDetail()
 	t.checkpoint = nil
 	t.running, t.stopping = false, false
-	tb.changed(t, from)
+	tb.notifyListener(t, from)
 }
 
-func (tb *table) changed(t *task, from Phase) {
+func (tb *table) notifyListener(t *task, from Phase) {
 	if tb.listener != nil {
 		tb.listener(t, from)
 	}
@@ -289,7 +289,7 @@
 	t := &task{
 		spec: st.GetSpec(), phase: Phase(st.GetPhase()), attempt: st.GetAttempt(),
 		worker: st.GetWorker(), boot: st.GetBoot(), given: fromProto(st.GetGiven()),
-		checkpoint: st.GetCheckpoint(), cancel: st.GetCancelRequested(),
+		checkpoint: st.GetCheckpoint(), cancelRequested: st.GetCancelRequested(),
 		code: result.Code(st.GetCode()), detail: st.GetDetail(),
 		evictions: st.GetEvictions(), failures: st.GetFailures(), resumes: st.GetResumes(),
 		seq: tb.nextSeq, selector: sel, failedOn: st.GetFailedOn(),
@@ -309,7 +309,7 @@
 func (t *task) state() *journalv1.TaskState {
 	return &journalv1.TaskState{
 		Spec: t.spec, Phase: uint32(t.phase), Attempt: t.attempt, Worker: t.worker, Boot: t.boot,
-		Given: toProto(t.given), Checkpoint: t.checkpoint, CancelRequested: t.cancel,
+		Given: toProto(t.given), Checkpoint: t.checkpoint, CancelRequested: t.cancelRequested,
 		Code: uint32(t.code), Detail: t.detail,
 		Evictions: t.evictions, Failures: t.failures, Resumes: t.resumes, FailedOn: t.failedOn,
 	}
@@ -337,7 +337,7 @@
 	tasks []*task
 }
 
-func before(a, b *task) bool {
+func precedes(a, b *task) bool {
 	if a.spec.GetUrgent() != b.spec.GetUrgent() {
 		return a.spec.GetUrgent()
 	}
@@ -345,7 +345,7 @@
 }
 
 func (q *queue) add(t *task) {
-	i := sort.Search(len(q.tasks), func(i int) bool { return !before(q.tasks[i], t) })
+	i := sort.Search(len(q.tasks), func(i int) bool { return !precedes(q.tasks[i], t) })
 	if i < len(q.tasks) && q.tasks[i] == t {
 		return // not removed since it was last pending
 	}
--- a/cell/workers.go
+++ b/cell/workers.go
@@ -17,14 +17,14 @@
 	goneAfter = 20 * time.Second
 	// quarantineThreshold is how many failures in a row, of tasks that had not
 	// failed before and without a success, put a worker into quarantine.
-	blameAfter = 4
+	quarantineThreshold = 4
 	// initialQuarantine is the length of a worker's first quarantine. It doubles
 	// with each further one up to maxQuarantine.
-	firstQuarantine = time.Minute
-	maxQuarantine   = 30 * time.Minute
+	initialQuarantine = time.Minute
+	maxQuarantine     = 30 * time.Minute
 	// maxQuarantinedFraction bounds the workers in quarantine, so that many
 	// failing tasks can't take the cell down.
-	quarantinedPart = 0.2
+	maxQuarantinedFraction = 0.2
 )
 
 // worker is the owner's state of a worker.
@@ -43,19 +43,19 @@
 	// leaseEnd: no task of this cell runs on the worker after this time of the
 	// entry's clock unless the lease is renewed. It only grows while the worker
 	// may hold a lease from any owner.
-	leaseEnd time.Duration
-	lapsed   bool // leaseEnd has passed and the attempts have been ended
+	leaseEnd   time.Duration
+	leaseEnded bool // leaseEnd has passed and the attempts have been ended
 
-	seq       uint64
-	inFlight  bool
-	idleSync  bool // the call in flight lets the worker wait
-	notBefore time.Duration
-	dirty     bool // there is something to send
+	seq        uint64
+	inFlight   bool
+	idleSync   bool // the call in flight lets the worker wait
+	notBefore  time.Duration
+	callNeeded bool // there is something to send
 	// pendingCommits are journal positions, ascending, whose commit gives
 	// something to send.
-	untold    []uint64
-	needFull  bool
-	askedFull bool // the call in flight asks for the full list
+	pendingCommits    []uint64
+	fullListNeeded    bool
+	fullListRequested bool // the call in flight asks for the full list
 	// starts and stops are those in the call in flight.
 	starts, stops []fleet.AttemptRef
 
@@ -64,37 +64,37 @@
 	acks map[fleet.AttemptRef]uint64
 	// orphans run on the worker although the table has them elsewhere or not at
 	// all; orphanResources is what they use.
-	orphans []fleet.AttemptRef
-	foreign fleet.Resources
+	orphans         []fleet.AttemptRef
+	orphanResources fleet.Resources
 
 	// freeingCapacityFor are the urgent tasks for which tasks here are evicted.
-	makingRoomFor []*task
+	freeingCapacityFor []*task
 
 	failuresInRow   int
 	quarantineFor   time.Duration
 	quarantineUntil time.Duration
 	throttledKind   string
 	// excludedKinds may not be started here until the given times.
-	barred map[string]time.Duration
+	excludedKinds map[string]time.Duration
 }
 
 // ensureWorker returns the state of a worker and creates it if missing.
-func (o *Owner) worker(id string) *worker {
+func (o *Owner) ensureWorker(id string) *worker {
 	w := o.workers[id]
 	if w == nil {
-		w = &worker{id: id, needFull: true, dirty: true, leaseEnd: o.leaseEndFloor}
+		w = &worker{id: id, fullListNeeded: true, callNeeded: true, leaseEnd: o.minLeaseEnd}
 		w.view = &scheduler.Worker{ID: id, Kinds: map[string]int{}}
 		o.workers[id] = w
-		o.order = nil
+		o.workerOrder = nil
 		if vm, ok := o.vms[id]; ok {
-			w.describe(vm)
+			w.applyVM(vm)
 		}
 	}
 	return w
 }
 
 // applyVM records what the platform's list reports of a VM.
-func (w *worker) describe(vm fleet.VM) {
+func (w *worker) applyVM(vm fleet.VM) {
 	w.address = vm.Worker
 	capacity := vm.Capacity.Sub(vm.Reserved)
 	held := w.view.Capacity.Sub(w.view.Free)
@@ -118,24 +118,24 @@
 	next := make(map[string]fleet.VM, len(vms))
 	for _, vm := range vms {
 		next[vm.ID] = vm
-		delete(o.missing, vm.ID)
+		delete(o.missingSince, vm.ID)
 	}
 	for id := range o.vms {
-		o.noteMissing(now, id, next)
+		o.recordMissing(now, id, next)
 	}
 	for id := range o.workers {
-		o.noteMissing(now, id, next)
+		o.recordMissing(now, id, next)
 	}
 	o.vms = next
 	for id, vm := range next {
-		if o.wasOwning {
-			o.worker(id).describe(vm)
+		if o.owning {
+			o.ensureWorker(id).applyVM(vm)
 		}
 	}
 	o.largest = largestOf(vms)
 	o.shares.SetTotal(o.totalCapacity())
-	o.reconsiderUnfit()
-	o.dirty = true
+	o.clearUnfit()
+	o.planNeeded = true
 }
 
 func largestOf(vms []fleet.VM) fleet.Resources {
@@ -149,16 +149,16 @@
 	return largest
 }
 
-func (o *Owner) noteMissing(now time.Duration, id string, listed map[string]fleet.VM) {
+func (o *Owner) recordMissing(now time.Duration, id string, listed map[string]fleet.VM) {
 	if _, ok := listed[id]; ok {
 		return
 	}
-	if _, ok := o.missing[id]; !ok {
-		o.missing[id] = now
+	if _, ok := o.missingSince[id]; !ok {
+		o.missingSince[id] = now
 	}
 }
 
-func (o *Owner) reconsiderUnfit() {
+func (o *Owner) clearUnfit() {
 	for _, t := range o.table.tasks {
 		t.unfit = false
 	}
@@ -166,43 +166,43 @@
 
 // gone reports whether the VM has been missing long enough to count as stopped.
 func (o *Owner) gone(now time.Duration, id string) bool {
-	since, ok := o.missing[id]
+	since, ok := o.missingSince[id]
 	return ok && now-since >= goneAfter
 }
 
 // expireWorkers ends the attempts on workers that can no longer run them.
 func (o *Owner) expireWorkers(now time.Duration) {
-	for _, w := range o.sorted() {
+	for _, w := range o.sortedWorkers() {
 		gone := o.gone(now, w.id)
-		if gone || now > w.leaseEnd && !w.lapsed {
-			o.giveUp(now, w, gone)
+		if gone || now > w.leaseEnd && !w.leaseEnded {
+			o.endLostAttempts(now, w, gone)
 		}
-		o.refreshUsable(now, w)
+		o.updateUsable(now, w)
 		if gone && len(o.table.onWorker[w.id]) == 0 {
-			o.drop(w)
+			o.removeWorker(w)
 		}
 	}
 }
 
-func (o *Owner) drop(w *worker) {
+func (o *Owner) removeWorker(w *worker) {
 	if w.inFlight {
 		o.inFlight--
 	}
 	delete(o.workers, w.id)
-	delete(o.missing, w.id)
-	o.order = nil
+	delete(o.missingSince, w.id)
+	o.workerOrder = nil
 }
 
 // sorted returns all workers in order of id.
-func (o *Owner) sorted() []*worker {
-	if o.order != nil {
-		return o.order
+func (o *Owner) sortedWorkers() []*worker {
+	if o.workerOrder != nil {
+		return o.workerOrder
 	}
 	for _, w := range o.workers {
-		o.order = append(o.order, w)
+		o.workerOrder = append(o.workerOrder, w)
 	}
-	sort.Slice(o.order, func(i, j int) bool { return o.order[i].id < o.order[j].id })
-	return o.order
+	sort.Slice(o.workerOrder, func(i, j int) bool { return o.workerOrder[i].id < o.workerOrder[j].id })
+	return o.workerOrder
 }
 
 // onWorker returns the attempts on a worker in order of submission.
@@ -215,37 +215,37 @@
 	return out
 }
 
-func (o *Owner) refreshUsable(now time.Duration, w *worker) {
+func (o *Owner) updateUsable(now time.Duration, w *worker) {
 	vm, listed := o.vms[w.id]
-	usable := listed && vm.State == fleet.VMLive && w.boot != 0 && !w.lapsed
-	w.liftBars(now)
+	usable := listed && vm.State == fleet.VMLive && w.boot != 0 && !w.leaseEnded
+	w.removeExpiredExclusions(now)
 	usable = usable && now >= w.quarantineUntil && now < w.leaseEnd
 	if usable != w.view.Usable {
 		w.view.Usable = usable
-		o.dirty = true
+		o.planNeeded = true
 	}
 	if listed && vm.State == fleet.VMLeaving {
 		o.vacate(now, w)
 	}
-	o.noticeRoom(w)
+	o.checkFreedCapacity(w)
 }
 
 // kindExclusionPeriod is how long a kind that was evicted to protect a service is
 // excluded from the VM.
-const barFor = 5 * time.Minute
+const kindExclusionPeriod = 5 * time.Minute
 
-func (w *worker) bar(now time.Duration, kind string) {
-	if w.barred == nil {
-		w.barred, w.view.Barred = map[string]time.Duration{}, map[string]bool{}
+func (w *worker) excludeKind(now time.Duration, kind string) {
+	if w.excludedKinds == nil {
+		w.excludedKinds, w.view.Barred = map[string]time.Duration{}, map[string]bool{}
 	}
-	w.barred[kind] = now + barFor
+	w.excludedKinds[kind] = now + kindExclusionPeriod
 	w.view.Barred[kind] = true
 }
 
-func (w *worker) liftBars(now time.Duration) {
-	for kind, until := range w.barred {
+func (w *worker) removeExpiredExclusions(now time.Duration) {
+	for kind, until := range w.excludedKinds {
 		if now >= until {
-			delete(w.barred, kind)
+			delete(w.excludedKinds, kind)
 			delete(w.view.Barred, kind)
 		}
 	}
@@ -260,15 +260,15 @@
 	for _, t := range o.table.onWorker[w.id] {
 		if t.running && !t.stopping && !t.spec.GetNotRepeatable() {
 			o.stop(t)
-			o.decide(Decision{What: "evict", Task: t.spec.GetId(), Attempt: t.attempt, Worker: w.id, Reason: "the VM is leaving"})
+			o.recordDecision(Decision{What: "evict", Task: t.spec.GetId(), Attempt: t.attempt, Worker: w.id, Reason: "the VM is leaving"})
 		}
 	}
 }
 
 // checkFreedCapacity lets urgent tasks be planned again once no more tasks on the
 // worker are being stopped for them.
-func (o *Owner) noticeRoom(w *worker) {
-	if len(w.makingRoomFor) == 0 {
+func (o *Owner) checkFreedCapacity(w *worker) {
+	if len(w.freeingCapacityFor) == 0 {
 		return
 	}
 	for _, t := range o.table.onWorker[w.id] {
@@ -276,9 +276,9 @@
 			return
 		}
 	}
-	for _, t := range w.makingRoomFor {
-		t.evictingFor = false
+	for _, t := range w.freeingCapacityFor {
+		t.awaitingEviction = false
 	}
-	w.makingRoomFor = nil
-	o.dirty = true
+	w.freeingCapacityFor = nil
+	o.planNeeded = true
 }
