--- a/scheduler/estimate.go
+++ b/scheduler/estimate.go
@@ -6,7 +6,8 @@
 	"leverstile.dev/fleet"
 )
 
-// Estimator corrects declared sizes by what tasks of the same kind used.
+// Estimator corrects declared sizes by the measured use of tasks of the same
+// kind.
 type Estimator struct {
 	kinds map[string]*kindUsage
 }
@@ -14,21 +15,22 @@
 type kindUsage struct {
 	cpu, memory *ddsketch.DDSketch
 	samples     int
-	// cached is the size that the sketches give; it is refreshed with each
+	// cached is the size computed from the sketches; it is refreshed every
 	// refreshEvery samples.
 	cached fleet.Resources
 }
 
 const (
-	// minSamples is how many samples of a kind are needed to correct its size.
+	// minSamples is the number of samples of a kind needed to correct its size.
 	minSamples = 30
-	// refreshEvery samples the quantiles are read again.
+	// refreshEvery is the number of samples between updates of the size.
 	refreshEvery = 16
-	// cpuQuantile and memoryQuantile are of the measured use. Too little
-	// processor slows a task down, too little memory ends it.
+	// cpuQuantile and memoryQuantile are quantiles of the measured use. The one
+	// of memory is higher because too little processor time slows a task down,
+	// while too little memory ends it.
 	cpuQuantile    = 0.90
 	memoryQuantile = 0.99
-	// headroom is the part added to the measured quantile.
+	// headroom is the factor applied to the measured quantile.
 	headroom = 1.15
 	// sketchAccuracy is the relative error of the quantiles.
 	sketchAccuracy = 0.02
@@ -37,15 +39,15 @@
 // NewEstimator returns an estimator without samples.
 func NewEstimator() *Estimator { return &Estimator{kinds: map[string]*kindUsage{}} }
 
-// Observe adds a measured use of one task of a kind.
+// Observe records the measured use of one task of a kind.
 func (e *Estimator) Observe(kind string, used fleet.Resources) {
 	k := e.kinds[kind]
 	if k == nil {
 		k = newKindUsage()
 		e.kinds[kind] = k
 	}
-	// The sketch only refuses negative numbers and those out of its range,
-	// which say nothing of a size.
+	// The sketch refuses only negative numbers and those out of its range,
+	// which are no valid sizes.
 	_ = k.cpu.Add(float64(used.CPUMilli))
 	_ = k.memory.Add(float64(used.MemoryMiB))
 	k.samples++
@@ -74,8 +76,8 @@
 	k.cached = fleet.Resources{CPUMilli: int64(cpu * headroom), MemoryMiB: int64(memory * headroom)}
 }
 
-// Ask returns the size to plan a task of a kind with. Accelerators are as
-// declared. A kind with few samples gets what was declared.
+// Ask returns the size for planning a task of a kind. Accelerators are as
+// declared. A kind with fewer than minSamples gets the declared size.
 func (e *Estimator) Ask(kind string, declared fleet.Resources) fleet.Resources {
 	k := e.kinds[kind]
 	if k == nil || k.samples < minSamples {
--- a/scheduler/filter_interference.go
+++ b/scheduler/filter_interference.go
@@ -1,7 +1,7 @@
 package scheduler
 
-// interferenceFilter keeps tasks off VMs where a service would be slowed down
-// beyond the tolerated factor: the first step of the ladder, avoid.
+// interferenceFilter rejects VMs where the task would slow a service down beyond
+// the tolerated factor. It is the step before those of Ladder.
 type interferenceFilter struct{ model *Interference }
 
 func (interferenceFilter) Name() string { return "interference" }
@@ -9,7 +9,7 @@
 // Passes implements Filter.
 func (f interferenceFilter) Passes(t *Task, w *Worker) bool {
 	if len(w.Services) == 0 || t.Urgent {
-		return true // an urgent task is as dear as a request
+		return true // an urgent task is as important as a service's requests
 	}
 	if w.Barred[t.Kind] {
 		return false
@@ -17,12 +17,12 @@
 	if f.model.with(w, t.Kind) <= f.model.params.Tolerated {
 		return true
 	}
-	// A task that adds nothing may run where another kind is to blame.
+	// The slow-down has another cause if this kind adds almost nothing to it.
 	return f.model.harmless(w, t.Kind)
 }
 
-// harmlessCoefficient is the added slow-down below which a kind is not held
-// responsible.
+// harmlessCoefficient is the added slow-down up to which a kind is not considered
+// a cause.
 const harmlessCoefficient = 0.02
 
 func (m *Interference) harmless(w *Worker, kind string) bool {
--- a/scheduler/filter_reserved.go
+++ b/scheduler/filter_reserved.go
@@ -1,6 +1,7 @@
 package scheduler
 
-// reservedFilter keeps others off a VM that is kept free for a large task.
+// reservedFilter rejects VMs that are reserved for another task, unless the task
+// is urgent.
 type reservedFilter struct{}
 
 func (reservedFilter) Name() string { return "reserved" }
--- a/scheduler/filter_room.go
+++ b/scheduler/filter_room.go
@@ -1,6 +1,6 @@
 package scheduler
 
-// roomFilter passes workers with room for the task.
+// capacityFilter passes workers with enough free capacity for the task.
 type roomFilter struct{}
 
 func (roomFilter) Name() string                   { return "room" }
--- a/scheduler/firstfit.go
+++ b/scheduler/firstfit.go
@@ -2,12 +2,12 @@
 
 import "sort"
 
-// FirstFit is the baseline that policies are measured against: all tasks in
-// order of arrival, each on the first VM with room, no shares, no regard to
-// services.
+// FirstFit is the baseline for comparing policies: it places all tasks in order
+// of arrival, each on the first VM with free capacity, and ignores shares and
+// interference.
 type FirstFit struct{ filters []Filter }
 
-// NewFirstFit returns the baseline.
+// NewFirstFit returns a FirstFit with its filters.
 func NewFirstFit() *FirstFit {
 	return &FirstFit{filters: []Filter{usableFilter{}, roomFilter{}, selectorFilter{}}}
 }
@@ -47,7 +47,8 @@
 	return explain(f.filters, t, workers)
 }
 
-// explain counts, for each filter, the workers that it rejects first.
+// countRejections counts the workers by the first filter that rejects t on them,
+// and those that pass all filters as "fits".
 func explain(filters []Filter, t *Task, workers []*Worker) map[string]int {
 	counts := map[string]int{}
 	for _, w := range workers {
--- a/scheduler/interference.go
+++ b/scheduler/interference.go
@@ -8,34 +8,34 @@
 )
 
 // Interference learns how much each kind of task slows each service down, by
-// level of the service's load, from samples that arrive late.
+// level of the service's load. Its samples arrive late.
 //
 // The model is additive: a service's slow-down is 1 plus the sum over the
 // tasks on the VM of a coefficient for (service, kind, load level). The
 // coefficients of a service and level are estimated together by a Kalman
-// filter (Kalman 1960) whose state is a slow random walk, so that a few noisy
-// tasks among many quiet ones get the blame. A kind that a service has not met
-// starts from the mean of its coefficients elsewhere.
+// filter (Kalman 1960) whose state is a slow random walk, so that the slow-down
+// is attributed to a few noisy tasks among many quiet ones. A kind without
+// samples beside a service starts from the mean of its coefficients elsewhere.
 type Interference struct {
 	params  InterferenceParams
 	filters map[filterKey]*filter
-	// kinds holds each kind's mean coefficient over all filters.
+	// kindMeans holds each kind's mean coefficient over all filters.
 	kinds map[string]*mean
 }
 
 // InterferenceParams are the parameters of the model.
 type InterferenceParams struct {
-	// Noise is the variance of a sample, Drift that by which a coefficient may
-	// change from one sample to the next, Prior that of a new coefficient.
+	// Noise is the variance of a sample, Drift the variance added to a
+	// coefficient per sample, Prior the variance of a new coefficient.
 	Noise, Drift, Prior float64
 	// Tolerated is the predicted slow-down up to which a placement passes.
 	Tolerated float64
 }
 
-// DefaultInterferenceParams were chosen by the traces in docs/MEASUREMENTS.md.
+// DefaultInterferenceParams are based on the traces in docs/MEASUREMENTS.md.
 var DefaultInterferenceParams = InterferenceParams{Noise: 0.02, Drift: 1e-6, Prior: 0.1, Tolerated: 1.5}
 
-// loadLevels is the number of levels into which load is cut.
+// loadLevels is the number of equal ranges into which load is divided.
 const loadLevels = 4
 
 type filterKey struct {
@@ -43,7 +43,7 @@
 	level   int
 }
 
-// filter estimates the coefficients of one service at one level of load.
+// kalmanFilter estimates the coefficients of one service at one level of load.
 type filter struct {
 	index  map[string]int
 	names  []string
@@ -54,7 +54,7 @@
 
 type mean struct{ sum, n float64 }
 
-// NewInterference returns a model that knows nothing.
+// NewInterference returns a model without samples.
 func NewInterference(params InterferenceParams) *Interference {
 	return &Interference{params: params, filters: map[filterKey]*filter{}, kinds: map[string]*mean{}}
 }
@@ -64,8 +64,8 @@
 	return min(max(l, 0), loadLevels-1)
 }
 
-// Observe learns from one sample: service ran slower by factor under load
-// while kinds ran beside it.
+// Observe updates the model with one sample: the service ran slower by factor
+// under load while kinds ran beside it.
 func (m *Interference) Observe(service string, load, factor float64, kinds map[string]int) {
 	if len(kinds) == 0 || math.IsNaN(factor) || factor <= 0 {
 		return
@@ -86,7 +86,7 @@
 	}
 }
 
-// know adds a kind with a first estimate.
+// addKind adds a kind with a first estimate unless it exists.
 func (f *filter) know(name string, value, variance float64) {
 	if _, ok := f.index[name]; ok {
 		return
@@ -102,7 +102,7 @@
 	f.cov = append(f.cov, row)
 }
 
-// update is one step of the Kalman filter with the measured extra slow-down.
+// update performs one step of the Kalman filter with the measured slow-down less 1.
 func (f *filter) update(p InterferenceParams, measured float64, kinds map[string]int) {
 	n := len(f.names)
 	counts := make([]float64, n)
@@ -129,7 +129,7 @@
 	}
 }
 
-// remember refreshes a kind's mean over all filters.
+// updateMean recomputes a kind's mean coefficient over all filters.
 func (m *Interference) remember(kind string) {
 	mn := &mean{}
 	for _, f := range m.filters {
@@ -148,8 +148,8 @@
 	return 0
 }
 
-// Coefficient returns what one task of kind adds to the slow-down of service
-// under load.
+// Coefficient returns the slow-down that one task of kind adds to service under
+// load.
 func (m *Interference) Coefficient(service, kind string, load float64) float64 {
 	if f := m.filters[filterKey{service, level(load)}]; f != nil {
 		if i, ok := f.index[kind]; ok {
@@ -168,8 +168,8 @@
 	return sum
 }
 
-// with returns the worst predicted slow-down of the services on w if one task
-// of kind is added.
+// predictWith returns the worst predicted slow-down of the services on w if one
+// task of kind is added.
 func (m *Interference) with(w *Worker, kind string) float64 {
 	worst := 1.0
 	for _, s := range w.Services {
@@ -179,8 +179,8 @@
 	return worst
 }
 
-// History remembers which kinds ran on a worker, so that a late sample is
-// attributed to the time it speaks of.
+// History records which kinds ran on a worker, so that a late sample is
+// attributed to the time at which it was taken.
 type History struct {
 	entries []historyEntry
 }
@@ -190,10 +190,10 @@
 	kinds map[string]int
 }
 
-// historyLength bounds the changes remembered per worker.
+// maxHistoryEntries bounds the changes recorded per worker.
 const historyLength = 64
 
-// Record notes the kinds that run from now on.
+// Record records the kinds that run from now on.
 func (h *History) Record(now time.Duration, kinds map[string]int) {
 	kept := make(map[string]int, len(kinds))
 	for k, n := range kinds {
@@ -205,7 +205,8 @@
 	}
 }
 
-// At returns the kinds that ran at a time, or nil if that is not remembered.
+// At returns the kinds that ran at a time, or nil if the history doesn't reach
+// back that far.
 func (h *History) At(at time.Duration) map[string]int {
 	for i := len(h.entries) - 1; i >= 0; i-- {
 		if h.entries[i].from <= at {
--- a/scheduler/ladder.go
+++ b/scheduler/ladder.go
@@ -1,42 +1,42 @@
 package scheduler
 
 // LadderParams are the thresholds of a Ladder, as slow-down factors. Release
-// lies below Throttle, so that a VM doesn't go back and forth.
+// is below Throttle (hysteresis), so that a VM doesn't alternate between the two.
 type LadderParams struct {
 	Throttle float64
 	Release  float64
-	// Samples in a row that a threshold must be passed for.
+	// Samples is the number of samples that must pass a threshold for a step.
 	Samples int
 }
 
-// DefaultLadderParams are the thresholds in use.
+// DefaultLadderParams are the default thresholds.
 var DefaultLadderParams = LadderParams{Throttle: 1.5, Release: 1.4, Samples: 2}
 
-// Step is what a Ladder asks for.
+// Step is the action that a Ladder decides on.
 type Step int
 
-// Steps of the ladder.
 const (
 	StepNone Step = iota
-	// StepThrottle slows down the tasks of the worst kind on the VM.
+	// StepThrottle throttles the tasks of the worst kind on the VM.
 	StepThrottle
-	// StepEvict ends one task of the worst kind.
+	// StepEvict evicts one task of the worst kind.
 	StepEvict
-	// StepRelease lets throttled tasks run freely again.
+	// StepRelease ends the throttling.
 	StepRelease
 )
 
-// Ladder decides from the slow-down samples of one VM what to do about its
-// tasks. The first step, avoid, is the planner's.
+// Ladder escalates from throttling to eviction of a VM's tasks, from samples of
+// its services' slow-down. The step before these, avoiding placements that slow
+// a service down, is part of the planner (interferenceFilter).
 type Ladder struct {
 	throttled bool
 	high, low int
 }
 
-// Next takes one sample: the measured slow-down, and the one predicted if
-// nothing were throttled. While tasks are throttled the measured one tells
-// little; they are released once the prediction allows it, and one by one
-// evicted as long as it does not.
+// Next processes one sample: the measured slow-down, and the one predicted
+// without throttling. Throttling hides the slow-down that the tasks cause, so
+// while tasks are throttled only the prediction counts: they are released once it
+// is at most Release, and evicted one by one while it is above.
 func (l *Ladder) Next(p LadderParams, measured, unthrottled float64) Step {
 	if !l.throttled {
 		return l.watch(p, measured)
--- a/scheduler/plan.go
+++ b/scheduler/plan.go
@@ -7,17 +7,17 @@
 	"leverstile.dev/fleet"
 )
 
-// Plan places waiting tasks and takes the room for them from the snapshot's
-// workers and shares; an owner that doesn't carry out a placement gives the
-// room back. Urgent tasks of all groups come first; then
-// groups take turns by their shares, each with its oldest task that fits.
+// Plan places waiting tasks and allocates their capacity in the snapshot's
+// workers and shares; an owner that doesn't carry out a placement must return
+// its capacity. Urgent tasks of all groups come first; then groups take turns by
+// their shares, each with its oldest task that fits.
 func (p *Planner) Plan(snap *Snapshot) Plan {
 	r := &round{planner: p, snap: snap, queues: map[string]*Queue{}, limit: p.limits.Placements}
 	for _, q := range snap.Queues {
 		r.queues[q.Group] = q
 	}
 	for _, w := range snap.Workers {
-		w.reservedFor = "" // reservations are made anew in each round
+		w.reservedFor = "" // each round makes its own reservations
 	}
 	r.urgent()
 	r.reserve()
@@ -25,20 +25,22 @@
 	return r.plan
 }
 
-// round is the work of one call of Plan.
+// round is the state of one call of Plan.
 type round struct {
 	planner *Planner
 	snap    *Snapshot
 	queues  map[string]*Queue
 	plan    Plan
-	limit   int
-	// failed remembers asks that found no room in this round, so that a long
-	// queue of equal tasks is tried once.
+	// limit is the number of placements left.
+	limit int
+	// failedAsks holds the asks that fitted no worker in this round, so that a
+	// long queue of equal tasks is tried once.
 	failed map[askKey]bool
-	// starved are groups with a task that has waited long for room.
+	// starvedGroups have a task that has waited long for capacity.
 	starved []string
 }
 
+// askKey identifies tasks that can be placed on the same workers.
 type askKey struct {
 	ask      fleet.Resources
 	selector string
@@ -104,9 +106,9 @@
 	}
 }
 
-// turn looks at a group's first task and takes it off the queue. It returns
-// how much that counts against the group's limit of blocked tasks: nothing for
-// a task that was placed, or one just like another that found no room.
+// takeTurn removes a group's first task from the queue and tries to place it. It
+// returns how much the task counts against the group's limit of blocked tasks:
+// zero if it was placed or equals a task that fitted no worker, otherwise one.
 func (r *round) turn(q *Queue) int {
 	t := q.Tasks[0]
 	q.Tasks = q.Tasks[1:]
@@ -135,8 +137,8 @@
 	return 1
 }
 
-// leavesHole reports whether a group that is above its share has to leave room
-// unused, so that it adds up for one below its share.
+// yieldsToStarved reports whether a task must wait because its group is above its
+// share, so that free capacity accumulates for a group below its share.
 func (r *round) leavesHole(t *Task) bool {
 	for _, other := range r.starved {
 		if other != t.Group && r.snap.Shares.Above(t.Group, other) {
@@ -184,7 +186,7 @@
 	return sum
 }
 
-// whyNot tells a task that could run on an empty VM from one that never can.
+// waitReason distinguishes a task that fits an empty VM from one that fits none.
 func (r *round) whyNot(t *Task) Reason {
 	if r.fitsSome(t) {
 		return ReasonNoRoom
@@ -201,9 +203,9 @@
 	return false
 }
 
-// reserve keeps VMs free for large tasks that have waited long, so that a
-// stream of small ones can't starve them. The VM that has most room already is
-// chosen; its tasks run to their end.
+// reserveVMs reserves VMs for large tasks that have waited long, so that a
+// stream of small tasks can't starve them. It chooses the VM with the least
+// missing capacity; the tasks on it run to their end.
 func (r *round) reserve() {
 	left := int(math.Ceil(r.planner.limits.ReservedPart * float64(len(r.snap.Workers))))
 	for _, q := range r.snap.Queues {
@@ -226,7 +228,7 @@
 			continue
 		}
 		if t.Ask.Fits(w.Free) {
-			return false // it finds room without help
+			return false // it fits without a reservation
 		}
 		if best == nil || missing(t.Ask, w) < missing(t.Ask, best) {
 			best = w
@@ -239,7 +241,8 @@
 	return true
 }
 
-// missing is how much of the ask has no room yet, as parts of the VM.
+// missingCapacity sums, over the kinds of resource, the fraction of the VM that
+// the ask exceeds its free capacity by.
 func missing(ask fleet.Resources, w *Worker) float64 {
 	short := ask.Sub(w.Free)
 	return fraction(max(short.CPUMilli, 0), w.Capacity.CPUMilli) +
@@ -247,7 +250,7 @@
 		fraction(max(short.Accelerators, 0), w.Capacity.Accelerators)
 }
 
-// evictFor makes room for an urgent task where least work is lost.
+// evictFor frees capacity for an urgent task where the least work is lost.
 func (r *round) evictFor(t *Task) bool {
 	var best *Worker
 	var victims []*Running
@@ -285,15 +288,16 @@
 		}
 	}
 	w.Running = rest
-	// The room is promised to t: nothing else is placed on it in this round.
+	// The capacity is reserved for t: this round places no other task on it.
 	w.reservedFor = t.ID
 }
 
-// evictionOverhead is the loss counted for each eviction beside lost work.
+// evictionOverhead is the fixed loss counted for each eviction in addition to
+// the discarded run time.
 const evictionOverhead = 5.0 // seconds
 
-// cheapest returns tasks on w whose end makes room for ask, those that lose
-// least first, and their loss in seconds.
+// cheapestVictims returns tasks on w whose eviction frees capacity for ask,
+// chosen in order of increasing loss, and their total loss in seconds.
 func cheapest(ask fleet.Resources, w *Worker) ([]*Running, float64, bool) {
 	byLoss := append([]*Running(nil), w.Running...)
 	sort.Slice(byLoss, func(i, j int) bool {
@@ -315,8 +319,8 @@
 	return victims, loss, ask.Fits(free)
 }
 
-// Explain counts, for each policy step that keeps t off a worker, the workers
-// that the step rejects first. Workers that would take it count as "fits".
+// Explain counts the workers by the first filter that rejects t on them.
+// Workers that pass all filters count as "fits".
 func (p *Planner) Explain(t *Task, workers []*Worker) map[string]int {
 	return explain(p.filters, t, workers)
 }
--- a/scheduler/plan_test.go
+++ b/scheduler/plan_test.go
@@ -33,8 +33,8 @@
 	return NewShares([]GroupSpec{{Name: "g", Share: 1}}, cores(32), time.Minute)
 }
 
-// TestReservationsEnd: a VM that was kept free for a large task is open again
-// in the next round if the task has gone.
+// TestReservationsEnd guards against a reservation that outlives its task: a VM
+// reserved for a large task is available in the next round if the task is gone.
 func TestReservationsEnd(t *testing.T) {
 	p := NewPlanner(DefaultLimits, nil)
 	w := newWorker("w", cores(4))
@@ -44,14 +44,16 @@
 	small := &Task{ID: "small", Group: "g", Ask: cores(1)}
 	first := p.Plan(snapshot(shares, []*Worker{w}, large, small))
 	if len(first.Placements) != 0 {
-		t.Fatalf("the VM should be kept free for the large task: %+v", first.Placements)
+		t.Fatalf("the VM should be reserved for the large task: %+v", first.Placements)
 	}
 	second := p.Plan(snapshot(shares, []*Worker{w}, small))
 	if len(second.Placements) != 1 {
-		t.Fatalf("the small task should run once the large one has gone: %+v", second.Waiting)
+		t.Fatalf("the small task should be placed once the large one is gone: %+v", second.Waiting)
 	}
 }
 
+// TestUnplaceableTaskBlocksNone guards against a task that is too large for each
+// VM blocking the tasks behind it in the queue.
 func TestUnfitBlocksNobody(t *testing.T) {
 	p := NewPlanner(DefaultLimits, nil)
 	shares := oneGroup()
@@ -66,8 +68,8 @@
 	}
 }
 
-// TestSharesByWeight: two groups with endless work get room by their weights;
-// within a group its children by theirs.
+// TestSharesByWeight: groups with more work than capacity get capacity in
+// proportion to their weights, and so do the children within a group.
 func TestSharesByWeight(t *testing.T) {
 	specs := []GroupSpec{
 		{Name: "a", Share: 3}, {Name: "b", Share: 1},
@@ -93,8 +95,9 @@
 	}
 }
 
-// TestOverShareLeavesHoles: while a group below its share waits for room, one
-// above its share doesn't fill the holes that would add up to that room.
+// TestAboveShareYieldsToStarved guards against starvation: while a group below its
+// share waits long for capacity, a group above its share must not take the small
+// amounts of free capacity that accumulate for it.
 func TestOverShareLeavesHoles(t *testing.T) {
 	shares := NewShares([]GroupSpec{{Name: "many", Share: 1}, {Name: "few", Share: 1}}, cores(8), time.Minute)
 	w := newWorker("w", cores(8))
@@ -107,12 +110,13 @@
 	if len(plan.Placements) != 0 {
 		t.Errorf("placed %s", plan.Placements[0].Task.ID)
 	}
-	large.Waited = 0 // it has only just come: nothing is held back yet
+	large.Waited = 0 // it has not waited long: other groups don't yield yet
 	if plan := planner.Plan(snapshot(shares, []*Worker{w}, large, small)); len(plan.Placements) != 1 {
 		t.Errorf("placements %+v", plan.Placements)
 	}
 }
 
+// TestQuotaOfParentHolds: a child's tasks count against the quota of its parent.
 func TestQuotaOfParentHolds(t *testing.T) {
 	specs := []GroupSpec{{Name: "a", Share: 1, Quota: cores(3)}, {Name: "a1", Parent: "a", Share: 1}}
 	shares := NewShares(specs, cores(8), time.Minute)
@@ -126,7 +130,8 @@
 	}
 }
 
-// TestUrgentEvictsLeastLoss: an urgent task replaces what loses least.
+// TestUrgentEvictsLeastLoss: an urgent task replaces the task with the least loss,
+// and nothing without an eviction budget.
 func TestUrgentEvictsLeastLoss(t *testing.T) {
 	shares := oneGroup()
 	var workers []*Worker
@@ -148,8 +153,8 @@
 	}
 }
 
-// TestInterferenceIsLearntFromLateSamples: the kind that ran when a sample was
-// taken is blamed, not the one that runs when it arrives.
+// TestInterferenceIsLearntFromLateSamples: the slow-down is attributed to the kind
+// that ran when the sample was taken, not to the one that runs when it arrives.
 func TestInterferenceIsLearntFromLateSamples(t *testing.T) {
 	m := NewInterference(DefaultInterferenceParams)
 	var h History
@@ -173,6 +178,8 @@
 	}
 }
 
+// TestLadderHasHysteresis guards against a VM that alternates between throttling
+// and release.
 func TestLadderHasHysteresis(t *testing.T) {
 	var l Ladder
 	p := DefaultLadderParams
@@ -181,8 +188,8 @@
 		want                  Step
 	}{
 		{1.6, 1.6, StepNone}, {1.4, 1.6, StepNone}, {1.6, 1.6, StepNone}, {1.6, 1.6, StepThrottle},
-		// While throttled the measured slow-down is low; that is no reason to
-		// release, as it would be back at once.
+		// While tasks are throttled the measured slow-down is low. They are not
+		// released for that, as it would rise again at once.
 		{1.0, 1.6, StepNone}, {1.0, 1.6, StepEvict}, {1.0, 1.45, StepNone}, {1.0, 1.45, StepEvict},
 		{1.0, 1.3, StepNone}, {1.0, 1.45, StepNone}, {1.0, 1.3, StepNone}, {1.0, 1.3, StepRelease}, {1.3, 1.3, StepNone},
 	}
@@ -193,6 +200,8 @@
 	}
 }
 
+// TestEstimatesCorrectDeclarations: with enough samples the planned size follows
+// the measured use, not the declared size.
 func TestEstimatesCorrectDeclarations(t *testing.T) {
 	e := NewEstimator()
 	declared := cores(4)
@@ -208,8 +217,8 @@
 	}
 }
 
-// TestSharesCountOtherCells: what a group holds in other cells counts against
-// its share in this one.
+// TestSharesCountOtherCells: the resources that a group holds in other cells count
+// against its share in this cell.
 func TestSharesCountOtherCells(t *testing.T) {
 	shares := NewShares([]GroupSpec{{Name: "a", Share: 1}, {Name: "b", Share: 1}}, cores(16), time.Minute)
 	shares.SetElsewhere("a", cores(6))
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,5 +1,5 @@
-// Package scheduler decides where tasks run and which ones give way. It is
-// pure: Plan reads a snapshot and returns a plan; the owner of the cell checks
+// Package scheduler decides where tasks run and which ones are evicted. It does
+// no I/O: Plan reads a snapshot and returns a plan; the owner of the cell checks
 // the plan against its table and commits it.
 package scheduler
 
@@ -12,17 +12,17 @@
 )
 
 // Worker is a VM as the planner sees it. Plan changes Free, Kinds and Running
-// as it places; see Plan.
+// for each task that it places; see Plan.
 type Worker struct {
 	ID     string
 	Place  string
 	Rack   string
 	Labels labels.Set
-	// Capacity is what tasks may be given in all: the VM less what its services
-	// need at their peak. Free is what is left of it.
+	// Capacity is the total available to tasks: the VM's resources less the peak
+	// need of its services. Free is the part of it that is not in use.
 	Capacity fleet.Resources
 	Free     fleet.Resources
-	// Usable is false while no task may be started there.
+	// Usable is false while no task may be started on the worker.
 	Usable bool
 	// Services run on the same VM under Load (0 to 1 of their peak).
 	Services []string
@@ -31,9 +31,9 @@
 	Kinds map[string]int
 	// Running are the tasks that an urgent task could replace.
 	Running []*Running
-	// Barred kinds were evicted for a service's sake a short while ago.
+	// ExcludedKinds were recently evicted from the VM to protect a service.
 	Barred map[string]bool
-	// reservedFor is a large waiting task that the VM is kept free for.
+	// reservedFor is the id of the waiting task for which the VM is reserved.
 	reservedFor string
 }
 
@@ -42,7 +42,7 @@
 	ID    string
 	Kind  string
 	Given fleet.Resources
-	// Loss is the run time that an eviction would throw away.
+	// Loss is the run time that an eviction would discard.
 	Loss time.Duration
 }
 
@@ -56,23 +56,23 @@
 	Urgent   bool
 	// Waited is the time since the task became runnable.
 	Waited time.Duration
-	// Avoid are the workers on which attempts failed.
+	// Avoid lists the workers on which attempts failed.
 	Avoid []string
 }
 
-// Queue is the waiting work of one group, first come first served; urgent
-// tasks stand first.
+// Queue holds the waiting tasks of one group in order of arrival, urgent tasks
+// first.
 type Queue struct {
 	Group string
 	Tasks []*Task
 }
 
-// Snapshot is what a plan is made from.
+// Snapshot is the input of a plan.
 type Snapshot struct {
 	Workers []*Worker
 	Queues  []*Queue
 	Shares  *Shares
-	// EvictionsLeft is how many evictions the budget allows now.
+	// EvictionsLeft is the number of evictions that the budget allows now.
 	EvictionsLeft int
 }
 
@@ -93,16 +93,15 @@
 	Loss   time.Duration
 }
 
-// Waiting says why a task was looked at and not placed.
+// Waiting states why a task was considered and not placed.
 type Waiting struct {
 	Task   *Task
 	Reason Reason
 }
 
-// Reason is why a task waits.
+// Reason is why a task waits. Its text is shown to clients.
 type Reason string
 
-// Reasons.
 const (
 	ReasonNoRoom    Reason = "no worker has room now"
 	ReasonFitsNoVM  Reason = "no VM of the cell is large enough or matches the selector"
@@ -114,17 +113,18 @@
 	ReasonPlanLimit Reason = "the planner's limit per round was reached"
 )
 
-// Plan is what to do.
+// Plan lists the placements and evictions to carry out, and the tasks that wait.
 type Plan struct {
 	Placements []Placement
 	Evictions  []Eviction
 	Waiting    []Waiting
 }
 
-// Scheduler makes plans from snapshots. Implementations are pure apart from
-// the room that Plan takes; see Planner.Plan.
+// Scheduler makes plans from snapshots. Implementations do no I/O and change
+// nothing but the snapshot, whose capacity Plan allocates; see Planner.Plan.
 type Scheduler interface {
 	Plan(snap *Snapshot) Plan
+	// Explain counts the workers by the filter that rejects t on them.
 	Explain(t *Task, workers []*Worker) map[string]int
 }
 
@@ -143,8 +143,9 @@
 	Score(t *Task, w *Worker) float64
 }
 
-// Weights of the score steps. Interference outweighs packing: a service's tail
-// is worth more than a well-filled VM (docs/design/interference.md).
+// Weights of the scorers. Interference outweighs packing because a service's
+// tail latency matters more than a well-filled VM
+// (docs/design/interference.md).
 const (
 	weightInterference = 4.0
 	weightPacking      = 1.0
@@ -157,7 +158,8 @@
 	weight float64
 }
 
-// Planner makes plans. It holds only its policy steps.
+// Planner makes plans from its filters, scorers and limits. It keeps no state
+// between plans.
 type Planner struct {
 	filters []Filter
 	scorers []weighted
@@ -166,14 +168,14 @@
 
 // Limits bound one plan.
 type Limits struct {
-	// Placements per plan.
+	// Placements is the largest number of placements per plan.
 	Placements int
-	// BlockedPerGroup is how many tasks that don't fit are passed over per
-	// group before the group's turn ends.
+	// BlockedPerGroup is the number of tasks that can't be placed after which
+	// a group's turns end.
 	BlockedPerGroup int
-	// ReserveAfter is the wait after which a VM is kept free for a task.
+	// ReserveAfter is the wait after which a VM is reserved for a task.
 	ReserveAfter time.Duration
-	// ReservedPart bounds the VMs kept free at a time, as a part of all.
+	// ReservedPart bounds the VMs reserved at a time, as a fraction of all.
 	ReservedPart float64
 }
 
@@ -185,8 +187,8 @@
 	ReservedPart:    0.25,
 }
 
-// NewPlanner returns the planner in use. interference may be nil, which plans
-// blindly.
+// NewPlanner returns a planner with the standard filters and scorers. If
+// interference is nil, plans ignore interference.
 func NewPlanner(limits Limits, interference *Interference) *Planner {
 	p := &Planner{
 		limits:  limits,
--- a/scheduler/score_accelerator.go
+++ b/scheduler/score_accelerator.go
@@ -1,7 +1,7 @@
 package scheduler
 
-// acceleratorScore keeps workers with accelerators for tasks that ask for
-// some, and fills started ones first, so that whole sets stay free.
+// acceleratorScore leaves workers with accelerators to tasks that ask for some,
+// and prefers those with few accelerators free, so that whole sets stay free.
 type acceleratorScore struct{}
 
 func (acceleratorScore) Name() string { return "accelerator" }
--- a/scheduler/score_interference.go
+++ b/scheduler/score_interference.go
@@ -1,6 +1,6 @@
 package scheduler
 
-// interferenceScore prefers VMs whose services suffer least.
+// interferenceScore prefers VMs whose services are slowed down least.
 type interferenceScore struct{ model *Interference }
 
 func (interferenceScore) Name() string { return "interference" }
--- a/scheduler/score_packing.go
+++ b/scheduler/score_packing.go
@@ -1,7 +1,7 @@
 package scheduler
 
-// packingScore prefers workers that are left well filled, so that room for
-// large tasks stays whole elsewhere.
+// packingScore prefers workers that have little left after the placement, so that
+// capacity for large tasks isn't fragmented elsewhere.
 type packingScore struct{}
 
 func (packingScore) Name() string { return "packing" }
@@ -10,7 +10,8 @@
 	left := w.Free.Sub(t.Ask)
 	cpu := fraction(left.CPUMilli, w.Capacity.CPUMilli)
 	mem := fraction(left.MemoryMiB, w.Capacity.MemoryMiB)
-	// An even rest of both kinds is worth more than a lot of one.
+	// Processor and memory left in equal parts can be used by more tasks than much
+	// of one kind and little of the other.
 	gap := cpu - mem
 	if gap < 0 {
 		gap = -gap
--- a/scheduler/shares.go
+++ b/scheduler/shares.go
@@ -9,24 +9,25 @@
 	"leverstile.dev/fleet"
 )
 
-// GroupSpec is a group as declared. A group's share counts among the children
-// of its parent; the root's name is empty.
+// GroupSpec is a group as declared. A group's share is relative to its siblings'
+// shares; groups at the top have an empty Parent.
 type GroupSpec struct {
 	Name   string
 	Parent string
 	Share  float64
-	// Quota bounds what the group's tasks hold at a time; zero fields don't.
+	// Quota bounds the resources that the group's tasks hold at a time; a zero
+	// field is no bound.
 	Quota fleet.Resources
 }
 
-// Shares keeps each group's use of the fleet and orders groups by weighted
-// dominant resource share (Ghodsi et al., NSDI 2011), nested, with past use
+// Shares records each group's use of the fleet and orders groups by nested
+// weighted dominant resource share (Ghodsi et al., NSDI 2011), with past use
 // that decays (docs/design/fair-share.md).
 type Shares struct {
 	groups map[string]*groupShare
 	root   *groupShare
 	total  fleet.Resources
-	// halfLife is the time after which past use counts half.
+	// halfLife is the time after which past use counts by half.
 	halfLife time.Duration
 	updated  time.Duration
 }
@@ -35,13 +36,13 @@
 	spec     GroupSpec
 	parent   *groupShare
 	children []*groupShare
-	// inUse is held by this group's own tasks in this cell, elsewhere in the
-	// others. Both exclude children.
+	// inUse is held by this group's own tasks in this cell, elsewhere by those in
+	// other cells. Both exclude children.
 	inUse     fleet.Resources
 	elsewhere fleet.Resources
-	// past is the decayed mean of the dominant share, children included.
+	// pastUse is the decayed mean of the dominant share, children included.
 	past float64
-	// subtree is the current use with children, refreshed on each change.
+	// subtree is the current use, children included, updated on each change.
 	subtree fleet.Resources
 }
 
@@ -56,7 +57,7 @@
 	return s
 }
 
-// SetGroups replaces the declared groups; use is kept by name.
+// SetGroups replaces the declared groups. Use is carried over by name.
 func (s *Shares) SetGroups(specs []GroupSpec) {
 	old := s.groups
 	s.groups = make(map[string]*groupShare, len(specs))
@@ -70,8 +71,8 @@
 	}
 	for name, o := range old {
 		if s.groups[name] == nil && !o.inUse.IsZero() {
-			// A group that is no longer declared keeps its entry while its
-			// tasks run.
+			// A group that is no longer declared keeps its entry while it has
+			// resources in use.
 			s.groups[name] = &groupShare{spec: GroupSpec{Name: name, Share: o.spec.Share}, inUse: o.inUse}
 		}
 	}
@@ -100,7 +101,8 @@
 // SetTotal sets the fleet's capacity.
 func (s *Shares) SetTotal(total fleet.Resources) { s.total = total }
 
-// Hold adds to (or with negative amounts takes from) what a group holds here.
+// AddUse adds r, which may be negative, to the resources that a group holds in
+// this cell.
 func (s *Shares) Hold(group string, r fleet.Resources) {
 	g := s.groups[group]
 	if g == nil {
@@ -112,7 +114,7 @@
 	g.addSubtree(r)
 }
 
-// SetElsewhere sets what a group holds in all other cells.
+// SetElsewhere sets the resources that a group holds in all other cells.
 func (s *Shares) SetElsewhere(group string, r fleet.Resources) {
 	if g := s.groups[group]; g != nil {
 		g.addSubtree(r.Sub(g.elsewhere))
@@ -120,7 +122,7 @@
 	}
 }
 
-// InUse returns what each group holds in this cell.
+// InUse returns the resources that each group holds in this cell.
 func (s *Shares) InUse() map[string]fleet.Resources {
 	out := make(map[string]fleet.Resources, len(s.groups))
 	for name, g := range s.groups {
@@ -131,7 +133,7 @@
 	return out
 }
 
-// Advance lets past use decay up to now.
+// Advance decays past use up to now.
 func (s *Shares) Advance(now time.Duration) {
 	passed := now - s.updated
 	if passed <= 0 {
@@ -144,7 +146,7 @@
 	}
 }
 
-// dominant is the largest part of any kind of resource.
+// dominant returns the largest fraction of the fleet over the kinds of resource.
 func (s *Shares) dominant(r fleet.Resources) float64 {
 	d := fraction(r.CPUMilli, s.total.CPUMilli)
 	d = max(d, fraction(r.MemoryMiB, s.total.MemoryMiB))
@@ -159,8 +161,8 @@
 	return 0
 }
 
-// order is what siblings are compared by: current and past use by weight, the
-// smaller first.
+// sortKey is the sum of current and past use divided by the share. Among siblings,
+// the group with the smallest key comes first.
 func (s *Shares) order(g *groupShare) float64 {
 	weight := g.spec.Share
 	if weight <= 0 {
@@ -169,8 +171,8 @@
 	return (s.dominant(g.subtree) + g.past) / weight
 }
 
-// Above reports whether group a holds clearly more for its share than b, where
-// their ways up the tree part.
+// Above reports whether group a holds clearly more in proportion to its share
+// than b. It compares the two ancestors that are siblings.
 func (s *Shares) Above(a, b string) bool {
 	pathA, pathB := s.path(a), s.path(b)
 	for i := range min(len(pathA), len(pathB)) {
@@ -181,18 +183,19 @@
 	return false
 }
 
-// aboveFactor keeps groups that are about even from blocking each other.
+// aboveFactor prevents groups with about equal use from blocking each other.
 const aboveFactor = 1.1
 
-// held is what a group holds now by weight.
+// weightedUse is a group's current use divided by its share.
 func (s *Shares) held(g *groupShare) float64 {
 	return s.dominant(g.subtree) / max(g.spec.Share, minShare)
 }
 
-// minShare stands in for the share of a group that is not declared.
+// minShare replaces the share of a group that is not declared and prevents a
+// division by zero.
 const minShare = 1e-9
 
-// path returns a group with its ancestors, the topmost first.
+// path returns a group and its ancestors, the topmost first.
 func (s *Shares) path(group string) []*groupShare {
 	var up []*groupShare
 	for g := s.groups[group]; g != nil && g != s.root; g = g.parent {
@@ -202,7 +205,7 @@
 	return up
 }
 
-// WithinQuota reports whether a group and all its parents may hold r more.
+// WithinQuota reports whether a group and all its parents may hold r in addition.
 func (s *Shares) WithinQuota(group string, r fleet.Resources) bool {
 	for g := s.groups[group]; g != nil && g != s.root; g = g.parent {
 		if !withinQuota(g.subtree.Add(r), g.spec.Quota) {
@@ -212,7 +215,7 @@
 	return true
 }
 
-// Exceeds reports whether r alone is more than the quota of the group or of
+// ExceedsQuota reports whether r alone is more than the quota of the group or of
 // one of its parents.
 func (s *Shares) Exceeds(group string, r fleet.Resources) bool {
 	for g := s.groups[group]; g != nil && g != s.root; g = g.parent {
@@ -233,10 +236,10 @@
 	return quota.Accelerators == 0 || r.Accelerators <= quota.Accelerators
 }
 
-// picker chooses the next group among those that still have work to look at.
+// picker chooses the next group among those with waiting tasks.
 type picker struct {
 	shares *Shares
-	active map[*groupShare]int // groups with work in their subtree
+	active map[*groupShare]int // number of groups with waiting tasks in the subtree
 }
 
 func newPicker(s *Shares, queues []*Queue) *picker {
@@ -255,9 +258,9 @@
 	}
 }
 
-// next returns the group whose turn it is: from the root down, the child
-// furthest below its share. A group's own work competes with its children's as
-// if it were one of them with the group's own name.
+// next returns the group whose turn it is: from the root down, the child with the
+// smallest sort key. A group's own tasks compete with its children by the use of
+// the group's own tasks. own reports which groups have waiting tasks.
 func (p *picker) next(own map[string]bool) (string, bool) {
 	g := p.shares.root
 	for {
@@ -294,7 +297,7 @@
 	return a.spec.Name < b.spec.Name
 }
 
-// Names returns the groups in order of name.
+// Names returns the names of the groups in order.
 func (s *Shares) Names() []string {
 	names := make([]string, 0, len(s.groups))
 	for n := range s.groups {
--- a/scheduler/steps_test.go
+++ b/scheduler/steps_test.go
@@ -8,7 +8,8 @@
 	"leverstile.dev/fleet"
 )
 
-// TestFilters: one line per reason for which a step rejects a worker.
+// TestFilters has one case for each reason for which a filter passes or rejects a
+// worker.
 func TestFilters(t *testing.T) {
 	noisy := NewInterference(DefaultInterferenceParams)
 	for range 50 {
@@ -55,7 +56,7 @@
 	}
 }
 
-// TestScores: of each pair the first worker is the better one.
+// TestScores: each scorer rates the better worker of its case above the worse.
 func TestScores(t *testing.T) {
 	noisy := NewInterference(DefaultInterferenceParams)
 	for range 50 {
