--- a/claim/claim.go
+++ b/claim/claim.go
@@ -1,7 +1,7 @@
 // Package claim keeps idempotency claims: a request that may run at most once
 // is claimed under its Idempotency-Key before it is sent. Claims are kept in
 // shards, each owned by one entry (package shard); a claim is durable before it
-// is granted. The decisions are pure. See docs/design/idempotency.md.
+// is granted. The package does no I/O. See docs/design/idempotency.md.
 package claim
 
 import (
@@ -20,19 +20,19 @@
 type Params struct {
 	Shard string
 	Self  string
-	// Retain is how long an ended claim is known.
+	// Retain is how long an ended claim is kept.
 	Retain time.Duration
 	// Grace is added to a claim's timeout before its outcome counts as unknown.
 	Grace time.Duration
-	// StoreSilence is how long a commit may go unanswered before claims are
-	// refused.
+	// StoreSilence is how long a commit may wait for the store's answer before
+	// requests are refused.
 	StoreSilence time.Duration
-	// NoCommit grants before the claim is durable; tests use it to show that
-	// the oracle notices.
+	// NoCommit grants claims before they are durable; tests use it to show that
+	// the oracle detects it.
 	NoCommit bool
 }
 
-// DefaultParams returns the parameters in use.
+// DefaultParams returns the default parameters of a shard at an entry.
 func DefaultParams(name, self string, retain time.Duration) Params {
 	return Params{Shard: name, Self: self, Retain: retain, Grace: 2 * time.Second, StoreSilence: 3 * time.Second}
 }
@@ -43,12 +43,12 @@
 	Holder      string
 	RequestID   string
 	Fingerprint uint64
-	// Timeout is how long the holder may take.
+	// Timeout is how long the holder may take to run the request.
 	Timeout time.Duration
 }
 
-// Reply answers a call by its ticket, after the commit. Code is result.OK
-// where the holder may send the request, or a completion was recorded.
+// Reply answers a call by its ticket, after the commit. Code is result.OK if
+// the holder may send the request, or if a completion was recorded.
 type Reply struct {
 	Ticket     uint64
 	Code       result.Code
@@ -57,7 +57,8 @@
 	RetryAfter time.Duration
 }
 
-// Owner is one claim shard at one entry. It isn't safe for concurrent use.
+// Owner is one claim shard at one entry. It collects store operations, replies
+// and errors for its caller to fetch with Take. It isn't safe for concurrent use.
 type Owner struct {
 	params  Params
 	core    *shard.Core
@@ -70,12 +71,13 @@
 	sweepAt time.Time
 }
 
+// waitingReply is sent once the journal is committed up to pos.
 type waitingReply struct {
 	pos   uint64
 	reply Reply
 }
 
-// NewOwner returns an Owner that owns nothing yet.
+// NewOwner returns an Owner that doesn't own its shard yet.
 func NewOwner(params Params, sp shard.Params) *Owner {
 	o := &Owner{params: params, table: &table{}}
 	o.table.Reset()
@@ -83,17 +85,19 @@
 	return o
 }
 
-// Core gives access to ownership.
+// Core returns the state of the shard's ownership and journal.
 func (o *Owner) Core() *shard.Core { return o.core }
 
-// Take returns the store operations, replies and faults that have come up.
+// Take returns the store operations, replies and errors collected since the last
+// call.
 func (o *Owner) Take() ([]shard.Op, []Reply, []error) {
 	ops, replies, errs := o.store, o.replies, o.errs
 	o.store, o.replies, o.errs = nil, nil, nil
 	return ops, replies, errs
 }
 
-// Tick does what is due. wall is the time of day, used for retention only.
+// Tick performs the work that is due at now. wall is the time of day, used for
+// claims' timeouts and retention only.
 func (o *Owner) Tick(now time.Duration, wall time.Time) {
 	o.store = append(o.store, o.core.Tick(now)...)
 	owning := o.core.Phase() == shard.Owning || o.core.Phase() == shard.Releasing
@@ -107,7 +111,7 @@
 	}
 }
 
-// StoreAnswer takes the outcome of a store operation.
+// StoreAnswer processes the outcome of a store operation.
 func (o *Owner) StoreAnswer(now time.Duration, wall time.Time, a shard.Answer) {
 	if err := o.core.Answer(now, a); err != nil {
 		o.errs = append(o.errs, err)
@@ -117,7 +121,7 @@
 
 func (o *Owner) lost() {
 	for _, w := range o.waiting {
-		// A grant may or may not be durable; the holder must not send.
+		// A grant may or may not be durable; the holder must not send the request.
 		o.replies = append(o.replies, Reply{Ticket: w.reply.Ticket, Code: result.OwnerUnavailable})
 	}
 	o.waiting = nil
@@ -141,7 +145,7 @@
 	o.flush()
 }
 
-// refused replies at once if nothing can be recorded now.
+// refuse replies with an error, and reports true, if nothing can be recorded now.
 func (o *Owner) refused(now time.Duration, ticket uint64) bool {
 	code := result.OK
 	if !o.core.MayDecide(now) {
@@ -156,9 +160,9 @@
 	return true
 }
 
-// Claim grants a key to one request, once and for all unless that request is
-// proven not to have run. Repeats learn how the first one stands. The same
-// request may ask again after a lost answer.
+// Claim grants a key to one request. The key is never granted to another one
+// unless the first is proven not to have run. Repeats get the state of the first
+// request's claim. The same request may ask again after its answer was lost.
 func (o *Owner) Claim(now time.Duration, wall time.Time, ticket uint64, r Request) {
 	if o.refused(now, ticket) {
 		return
@@ -206,7 +210,7 @@
 	o.answerAfter(c.pos, reply)
 }
 
-// end records how a claim ended; it is kept for the retention time.
+// recordEnd records how a claim ended; the claim is kept for the retention time.
 func (o *Owner) end(wall time.Time, c *claim, phase journalv1.ClaimPhase, outcome *journalv1.ClaimOutcome) *claim {
 	rec := proto.CloneOf(c.rec)
 	rec.Phase, rec.Outcome = phase, outcome
@@ -214,8 +218,8 @@
 	return o.propose(rec)
 }
 
-// Complete records the outcome of the request that holds a claim: done,
-// unknown, or released, which means that it surely was not run. Safe to repeat.
+// Complete records the outcome of the request that holds a claim: done, unknown,
+// or released, which means that it certainly has not run. Repeating it is safe.
 func (o *Owner) Complete(now time.Duration, wall time.Time, ticket uint64, key, requestID string, phase journalv1.ClaimPhase, outcome *journalv1.ClaimOutcome) {
 	if o.refused(now, ticket) {
 		return
@@ -245,7 +249,7 @@
 	return c
 }
 
-// sweepEvery is how often claims are looked through for those to forget.
+// sweepInterval is the time between two scans for claims to end or remove.
 const sweepEvery = 10 * time.Second
 
 func (o *Owner) sweep(wall time.Time) {
@@ -255,16 +259,16 @@
 	o.sweepAt = wall.Add(sweepEvery)
 	for _, key := range o.table.keys() {
 		c := o.table.claims[key]
-		over := time.UnixMilli(c.rec.GetExpiresUnixMs()).Before(wall)
-		if over && c.rec.GetPhase() != journalv1.ClaimPhase_CLAIM_PHASE_GRANTED {
+		expired := time.UnixMilli(c.rec.GetExpiresUnixMs()).Before(wall)
+		if expired && c.rec.GetPhase() != journalv1.ClaimPhase_CLAIM_PHASE_GRANTED {
 			o.propose(&journalv1.ClaimRecord{Key: key, Phase: journalv1.ClaimPhase_CLAIM_PHASE_FORGOTTEN})
-		} else if over {
+		} else if expired {
 			o.end(wall, c, journalv1.ClaimPhase_CLAIM_PHASE_UNKNOWN, nil)
 		}
 	}
 }
 
-// Len is the number of claims known.
+// Len returns the number of claims in the table.
 func (o *Owner) Len() int { return len(o.table.claims) }
 
 type claim struct {
--- a/claim/claim_fuzz_test.go
+++ b/claim/claim_fuzz_test.go
@@ -19,16 +19,16 @@
 	"leverstile.dev/standin"
 )
 
-// Fixed seeds, so that each run gives the same verdict; -rapid.seed sets others.
+// Fixed seeds make each run give the same verdict; -rapid.seed sets others.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
 }
 
-// The sim drives two owners of a claim shard against the stand-in store, one
-// message at a time. Callers repeat requests with the same key through either
+// The simulation drives two owners of a claim shard against the stand-in store,
+// one message at a time. Callers repeat requests with the same key through either
 // owner; a request that is granted runs. The oracle counts runs by key, and
-// porcupine checks the history of claims.
+// porcupine checks that the history of claims is linearizable.
 
 const (
 	claimTTL    = 3 * time.Second
@@ -36,6 +36,7 @@
 	claimKeys   = 4
 )
 
+// mutation is a fault put into the owners that the checks must find.
 type mutation struct {
 	noCommit, noTermCheck bool
 }
@@ -50,14 +51,14 @@
 	storeCut bool
 }
 
-// call is a claim or completion on its way.
+// call is a claim or completion that waits for its reply.
 type call struct {
 	op     operation
 	began  int64
 	client int
 }
 
-// operation is what porcupine sees.
+// operation is the input of one call in porcupine's history.
 type operation struct {
 	key, request string
 	kind         opKind
@@ -81,7 +82,7 @@
 	calls   map[uint64]call
 	ticket  uint64
 	request int
-	// ran counts runs by key; a released request has not run.
+	// runsByKey counts runs; a released request has not run.
 	ran     map[string]int
 	granted map[string]string // request to key
 	history []porcupine.Operation
@@ -129,8 +130,8 @@
 	return nil
 }
 
-// answered takes a reply as the entry does: a granted request runs at once, or
-// is refused by its endpoint and released.
+// handleReply processes a reply as the entry does: a granted request runs at
+// once, or is refused by its endpoint and released.
 func (s *sim) answered(c call, r Reply) {
 	known := r.Code == result.OK || c.op.kind == opClaim && r.Phase != journalv1.ClaimPhase_CLAIM_PHASE_UNSPECIFIED
 	if !known {
@@ -152,12 +153,12 @@
 	} else {
 		s.ran[c.op.key]++
 	}
-	if s.pick(5) > 0 { // else the holder dies before it can tell
+	if s.pick(5) > 0 { // otherwise the holder crashes before it reports the outcome
 		s.call(s.nodes[s.pick(2)], operation{c.op.key, c.op.request, kind})
 	}
 }
 
-// never is the return time of an operation without a known outcome.
+// neverReturned is the return time of an operation without a known outcome.
 const never = 1 << 40
 
 type output struct{ known, granted bool }
@@ -199,9 +200,9 @@
 	}
 	op := n.store[0]
 	n.store = n.store[1:]
-	life := n.life
+	incarnation := n.life
 	answer := func(a shard.Answer) {
-		if n.life == life && !n.dead {
+		if n.life == incarnation && !n.dead {
 			n.owner.StoreAnswer(s.now, s.wall(), a)
 		}
 	}
@@ -308,8 +309,8 @@
 	return s.collect(n)
 }
 
-// episode has an owner's commit arrive after another one has taken over, and
-// then ends that one too.
+// staleCommitEpisode lets an owner's commit arrive after another node has taken
+// over, and then crashes that node too.
 func (s *sim) episode() error {
 	first := s.pick(2)
 	n, other := s.nodes[first], s.nodes[1-first]
@@ -362,7 +363,7 @@
 	n.store = nil
 }
 
-// check holds runs and history against the promise.
+// check verifies that no key ran twice and that the history is linearizable.
 func (s *sim) check() error {
 	for key, n := range s.ran {
 		if n > 1 {
@@ -379,8 +380,8 @@
 	return nil
 }
 
-// claimState is a key's state in the model: who holds it, and whether it is
-// over.
+// claimState is a key's state in the model: the request that holds it, and
+// whether that request's claim has ended.
 type claimState struct {
 	holder string
 	over   bool
@@ -444,8 +445,9 @@
 	return s.check()
 }
 
-// TestClaimRunsOnce: whatever is lost, late, cut off or killed, no key's
-// request runs twice, and claims are linearizable.
+// TestClaimRunsOnce guards against a second run of a key's request and against
+// claims that are not linearizable, with messages lost, delayed or cut off and
+// nodes that crash or lose ownership, chosen by rapid.
 func TestClaimRunsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSim(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "n") }, mutation{})
@@ -460,6 +462,7 @@
 	})
 }
 
+// TestClaimSeeds checks the same as TestClaimRunsOnce with fixed seeds.
 func TestClaimSeeds(t *testing.T) {
 	runs := uint64(400)
 	if testing.Short() {
@@ -472,6 +475,8 @@
 	}
 }
 
+// TestClaimMutationsAreFound guards against checks that detect nothing: each
+// mutation of the owners must make a seed fail.
 func TestClaimMutationsAreFound(t *testing.T) {
 	for name, m := range map[string]mutation{
 		"granted before the commit":     {noCommit: true},
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -1,6 +1,6 @@
-// Package membership knows which entries are alive and which of them should
-// own which shard. It is pure; package entry feeds it with the store's watch
-// and what peers say.
+// Package membership determines which entries may own shards and which of them
+// is preferred for each shard. It does no I/O; package entry supplies it with the
+// store's watch events and the reports of peers.
 package membership
 
 import (
@@ -13,23 +13,23 @@
 // Entry is an entry process.
 type Entry struct {
 	ID       string `json:"id"`
-	Address  string `json:"address"` // for peers
+	Address  string `json:"address"` // at which peers call it
 	Place    string `json:"place"`
 	Draining bool   `json:"draining,omitempty"`
 }
 
 // weight is the rendezvous weight of an entry for a shard (Thaler and
 // Ravishankar 1998): each shard prefers the entry with the highest weight, so
-// that an entry's end moves only its own shards.
+// that the end of an entry moves only the shards that it owned.
 func weight(shard, entry string) uint64 {
 	return xxhash.Sum64String(shard + "\x00" + entry)
 }
 
-// Assign gives each shard a preferred owner among entries that aren't
-// draining. An entry gets at most one shard more than another could have;
-// shards over that go to their next preference. The result depends only on the
-// arguments, so that entries with the same view agree. Disagreement is
-// harmless: ownership itself is decided by the store.
+// Assign gives each shard a preferred owner among the entries that aren't
+// draining, or among all if all are. No entry gets more than the average number
+// of shards, rounded up; further shards go to their next preference. The result
+// depends only on the arguments, so that entries with the same view agree.
+// Disagreement is harmless: the store decides ownership.
 func Assign(shards []string, entries []Entry) map[string]string {
 	live := usable(entries)
 	out := make(map[string]string, len(shards))
@@ -65,9 +65,9 @@
 	return live
 }
 
-// Rank returns the ids of entries in a shard's order of preference. Entries of
-// the place that the shard's name begins with come first, as the shard's
-// workers are there.
+// Rank returns the ids of entries in a shard's order of preference. Entries in
+// the data centre that the shard's name begins with come first, because the
+// shard's workers are there.
 func Rank(shard string, entries []Entry) []string {
 	type ranked struct {
 		id   string
@@ -98,9 +98,9 @@
 	return place != "" && strings.HasPrefix(shard, "cell-"+place)
 }
 
-// HomeCell returns the cell that keeps a task, by its id, among the cells it
-// may run in. Each entry computes the same, so that a task submitted again
-// anywhere is the same task.
+// HomeCell returns the cell that keeps a task, chosen by the task's id among the
+// cells in which it may run. Each entry computes the same cell, so that a repeated
+// submission through any entry reaches the same task.
 func HomeCell(task string, cells []string) string {
 	best, bestWeight := "", uint64(0)
 	for _, c := range cells {
@@ -111,13 +111,13 @@
 	return best
 }
 
-// ClaimShard returns the number of the claim shard of a key, among n.
+// ClaimShard returns the number, below n, of the claim shard of a key.
 func ClaimShard(service, key string, n int) int {
 	return int(xxhash.Sum64String(service+"\x00"+key) % uint64(n))
 }
 
-// Calls reports whether entry a calls b for an exchange of views, rather than
-// the other way round. Each entry calls about half of the others.
+// Calls reports whether entry a calls b, and not b a, to exchange their views.
+// Each entry calls about half of the others.
 func Calls(a, b string) bool {
 	x, y := weight(a, b), weight(b, a)
 	if x == y {
--- a/shard/core.go
+++ b/shard/core.go
@@ -1,12 +1,12 @@
-// Package shard keeps a piece of state that one entry owns at a time.
+// Package shard keeps a piece of state that is owned by one entry at a time.
 //
-// Ownership is a key under the owner's store lease together with a term that
-// only grows. Changes are records in a journal in the store, committed in
-// groups; each commit is conditional on the term, so that a former owner can
-// write nothing after a takeover. See docs/design/ownership.md.
+// Ownership is a key under the owner's store lease together with a term, a
+// number that only grows. Changes are records in a journal in the store,
+// committed in groups; each commit is conditional on the term, so that a former
+// owner can't write after a takeover. See docs/design/ownership.md.
 //
-// Core decides without I/O: it is given clock readings and answers of the
-// store, and returns the store operations to do next.
+// Core does no I/O: it is given clock readings and answers of the store, and
+// returns the store operations to perform next.
 package shard
 
 import (
@@ -19,8 +19,8 @@
 	"leverstile.dev/kv"
 )
 
-// Machine is the state that a shard's records change. All methods are called
-// from the goroutine that drives the Core.
+// Machine is the state machine to which a shard's records are applied. All
+// methods are called from the goroutine that drives the Core.
 type Machine interface {
 	// Reset empties the state.
 	Reset()
@@ -32,20 +32,20 @@
 	Snapshot(maxBytes int) ([][]byte, error)
 }
 
-// Phase is how far an entry is on the way to owning a shard.
+// Phase is an entry's progress towards owning a shard.
 type Phase int
 
-// Phases.
 const (
-	// Idle: not the owner.
+	// Idle means that the entry is not the owner.
 	Idle Phase = iota
-	// Acquiring: trying to become the owner.
+	// Acquiring means that it tries to become the owner.
 	Acquiring
-	// Loading: the owner, reading snapshot and journal.
+	// Loading means that it is the owner and reads the snapshot and journal.
 	Loading
-	// Owning: the owner; records may be proposed.
+	// Owning means that it is the owner and records may be proposed.
 	Owning
-	// Releasing: the owner, committing what is left before giving up ownership.
+	// Releasing means that it is the owner and commits the remaining records
+	// before it gives up ownership.
 	Releasing
 )
 
@@ -55,20 +55,20 @@
 	Name string
 	// Self is the id of this entry process.
 	Self string
-	// CommitEvery is the least time between two commits.
+	// CommitEvery is the minimum time between two commits.
 	CommitEvery time.Duration
 	// RetryEvery is the wait after a store call without an answer.
 	RetryEvery time.Duration
-	// MaxValueBytes bounds a journal value or snapshot part.
+	// MaxValueBytes bounds the size of a journal value or snapshot part.
 	MaxValueBytes int
-	// SnapshotBytes of journal lead to a snapshot.
+	// SnapshotBytes is the size of the journal at which a snapshot is written.
 	SnapshotBytes int
-	// NoTermCheck commits whatever the term; tests use it to show that an
-	// oracle notices.
+	// NoTermCheck commits without checking the term; tests use it to show that
+	// an oracle detects it.
 	NoTermCheck bool
 }
 
-// Defaults of Params.
+// Default values of Params.
 const (
 	DefaultCommitEvery   = 100 * time.Millisecond
 	DefaultRetryEvery    = 500 * time.Millisecond
@@ -76,7 +76,7 @@
 	DefaultSnapshotBytes = 2_000_000
 )
 
-// Op is a store call that the caller of Core must make. Its answer goes to
+// Op is a store call that the caller of Core must make. Its answer is passed to
 // Core.Answer with the same ID. Txn is nil for a range read of Prefix.
 type Op struct {
 	ID     uint64
@@ -113,23 +113,23 @@
 	phase  Phase
 	wanted bool
 	// lease is the entry's store lease; decisions end at leaseUntil, which is
-	// never later than the lease's end in the store.
+	// no later than the lease's end in the store.
 	lease      int64
 	leaseUntil time.Duration
 
 	term    uint64
 	termMod int64
-	// acquire is the acquisition to try next, made from the keys just read.
+	// acquireTxn is the acquisition to try next, built from the keys just read.
 	acquire *kv.Txn
 
-	// gen numbers snapshots; seq numbers journal values within a generation.
-	gen          uint64
+	// generation counts snapshots; seq numbers the journal values within a
+	// generation.
 	seq          uint64
 	headMod      int64
 	journalBytes int
 
-	// proposed counts records ever proposed in this term, committed those that
-	// are durable. Invariant: committed <= proposed.
+	// proposed is the number of records proposed in this term, committed the
+	// number of those that are durable. Invariant: committed <= proposed.
 	proposed  uint64
 	committed uint64
 	queue     [][]byte
@@ -145,12 +145,14 @@
 	lastAnswer  time.Duration
 }
 
+// chunk is a group of records being committed as one journal value.
 type chunk struct {
 	txn      kv.Txn
 	upTo     uint64
 	byteSize int
 }
 
+// snapshot is a snapshot being written part by part, with the head last.
 type snapshot struct {
 	parts [][]byte
 	next  int
@@ -158,12 +160,12 @@
 	gen   uint64
 }
 
-// New returns a Core that owns nothing.
+// New returns a Core that doesn't own its shard yet.
 func New(params Params, machine Machine) *Core {
 	return &Core{params: params, machine: machine}
 }
 
-// WatchPrefix is the prefix of the keys that each entry watches.
+// WatchPrefix is the prefix of the keys that every entry watches.
 const WatchPrefix = "/leverstile/watch/"
 
 // OwnerPrefix is the prefix of the owner keys, below WatchPrefix.
@@ -171,7 +173,7 @@
 
 const dataPrefix = "/leverstile/shard/"
 
-// OwnerKey is the key that exists while a shard has an owner.
+// OwnerKey returns the key that exists while a shard has an owner.
 func OwnerKey(name string) string { return OwnerPrefix + name }
 
 func (c *Core) prefix() string { return dataPrefix + c.params.Name + "/" }
@@ -190,10 +192,10 @@
 
 func (c *Core) logKey() string { return fmt.Sprintf("%s%016x", c.logPrefix(c.gen), c.seq) }
 
-// Phase returns the phase.
+// Phase returns the current phase.
 func (c *Core) Phase() Phase { return c.phase }
 
-// Term returns the term owned, or the last one owned.
+// Term returns the current term, or the last one in which this entry was owner.
 func (c *Core) Term() uint64 { return c.term }
 
 // Proposed returns the position of the last proposed record.
@@ -202,16 +204,16 @@
 // Committed returns the position up to which records are durable.
 func (c *Core) Committed() uint64 { return c.committed }
 
-// LeaseUntil returns the clock reading at which decisions must end.
+// LeaseUntil returns the clock reading at which decisions must stop.
 func (c *Core) LeaseUntil() time.Duration { return c.leaseUntil }
 
-// MayDecide reports whether this entry surely is the owner at now.
+// MayDecide reports whether this entry certainly is the owner at now.
 func (c *Core) MayDecide(now time.Duration) bool {
 	return c.phase == Owning && now < c.leaseUntil
 }
 
-// StoreSilent returns how long a commit has been waiting for the store; zero
-// if none waits.
+// StoreSilent returns how long a commit or snapshot has waited for the store's
+// answer, or zero if none is pending.
 func (c *Core) StoreSilent(now time.Duration) time.Duration {
 	if c.chunk == nil && c.snapshot == nil {
 		return 0
@@ -219,12 +221,12 @@
 	return now - c.lastAnswer
 }
 
-// SetWanted says whether this entry is the preferred owner.
+// SetWanted sets whether this entry is the preferred owner.
 func (c *Core) SetWanted(wanted bool) { c.wanted = wanted }
 
-// SetLease gives the entry's store lease and the clock reading up to which it
-// surely holds. Another lease id means that the former lease has lapsed, and
-// with it the ownership.
+// SetLease sets the entry's store lease and the clock reading up to which it is
+// held for certain. A different lease id means that the former lease has expired,
+// and ownership with it.
 func (c *Core) SetLease(id int64, until time.Duration) {
 	if id != c.lease && c.phase != Idle {
 		c.lose()
@@ -232,8 +234,8 @@
 	c.lease, c.leaseUntil = id, until
 }
 
-// Propose adds a record to the next commit and returns its position. The
-// caller has applied it to the machine already; effects outside wait until
+// Propose adds a record to the next commit and returns its position. The caller
+// has applied it to the machine already, but must delay external effects until
 // Committed reaches the position.
 func (c *Core) Propose(record []byte) uint64 {
 	c.queue = append(c.queue, record)
@@ -247,7 +249,7 @@
 	c.pendingOp = 0
 }
 
-// Tick returns the store operation to do now, if any.
+// Tick returns the store operation to perform now, if any.
 func (c *Core) Tick(now time.Duration) []Op {
 	if c.pendingOp != 0 || now < c.notBefore {
 		return nil
@@ -344,8 +346,8 @@
 	return kv.Compare{Key: c.termKey(), ModRevision: c.termMod}
 }
 
-// beginSnapshot writes the whole state, records that wait in the queue
-// included; they become durable with the snapshot.
+// beginSnapshot starts writing the whole state, including the records still in
+// the queue; those become durable with the snapshot.
 func (c *Core) beginSnapshot() []Op {
 	parts, err := c.machine.Snapshot(c.params.MaxValueBytes)
 	if err != nil {
@@ -369,8 +371,8 @@
 	}
 	head := &journalv1.SnapshotHead{Generation: s.gen, Parts: uint32(len(s.parts))}
 	return c.op(opSnapshotHead, Op{Txn: &kv.Txn{
-		// The head's revision keeps a late duplicate of this write from undoing
-		// a newer snapshot.
+		// Comparing the head's revision prevents a late duplicate of this write
+		// from undoing a newer snapshot.
 		If: []kv.Compare{c.termIsOurs(), c.headIsKnown()},
 		Then: []kv.Op{
 			kv.Put(c.headKey(), mustMarshal(head), 0),
@@ -395,9 +397,9 @@
 	}
 }
 
-// Answer takes the outcome of an operation. Answers to operations that are no
-// longer awaited are ignored. It returns an error only where stored state can't
-// be read; ownership is then given up.
+// Answer processes the outcome of an operation and ignores answers to operations
+// that are no longer pending. It returns an error only if stored state can't be
+// read; ownership is then given up.
 func (c *Core) Answer(now time.Duration, a Answer) error {
 	if a.ID != c.pendingOp || c.pendingOp == 0 {
 		return nil
@@ -406,7 +408,7 @@
 	if a.Err != nil {
 		c.notBefore = now + c.params.RetryEvery
 		if c.phase == Acquiring {
-			// An acquisition whose answer was lost is found again by its lease.
+			// If the acquisition succeeded, its lease identifies it at the next try.
 			c.phase = Idle
 		}
 		return nil
@@ -453,8 +455,8 @@
 	}
 }
 
-// answerOwned handles a shard that has an owner. An owner key under this
-// process's own lease can only be from an acquisition whose answer was lost.
+// answerOwned handles a shard that has an owner. An owner key under this entry's
+// own lease can only come from an acquisition whose answer was lost.
 func (c *Core) answerOwned(now time.Duration, owner, term *kv.Pair) {
 	if owner.Lease == c.lease && term != nil {
 		c.acquired(term)
@@ -473,7 +475,7 @@
 }
 
 // answerCommit handles a journal write. If the key exists already and the term
-// is still ours, then an earlier try of the same write took effect: only the
+// is unchanged, then an earlier attempt of the same write took effect: only the
 // term's owner writes, and it uses each key for one chunk.
 func (c *Core) answerCommit(res kv.TxnResult) {
 	if !res.Succeeded && !c.stillOurs(res) {
@@ -525,7 +527,7 @@
 func mustMarshal(m proto.Message) []byte {
 	b, err := proto.Marshal(m)
 	if err != nil {
-		panic(err) // only possible for messages that this package built wrongly
+		panic(err) // happens only for messages that this package built incorrectly
 	}
 	return b
 }
--- a/shard/recover.go
+++ b/shard/recover.go
@@ -11,6 +11,7 @@
 	"leverstile.dev/kv"
 )
 
+// beginLoading enters the loading phase for the term just acquired.
 func (c *Core) acquired(term *kv.Pair) {
 	c.phase = Loading
 	c.term = decodeTerm(term).GetTerm()
@@ -18,6 +19,7 @@
 	c.machine.Reset()
 }
 
+// loadState rebuilds the machine from the shard's keys: snapshot, then journal.
 func (c *Core) load(pairs []kv.Pair) error {
 	byKey := make(map[string]kv.Pair, len(pairs))
 	for _, p := range pairs {
@@ -99,8 +101,8 @@
 func decodeTerm(p *kv.Pair) *journalv1.TermRecord {
 	rec := &journalv1.TermRecord{}
 	if p != nil {
-		// A value that can't be read counts as term 0; the compare on its
-		// revision still orders owners.
+		// A value that can't be read counts as term 0; owners are still ordered
+		// by the comparison of the key's revision.
 		_ = proto.Unmarshal(p.Value, rec)
 	}
 	return rec
