--- a/shard/core.go
+++ b/shard/core.go
@@ -124,6 +124,7 @@
 
 	// generation counts snapshots; seq numbers the journal values within a
 	// generation.
+	gen          uint64
 	seq          uint64
 	headMod      int64
 	journalBytes int
