--- a/scheduler/ladder.go
+++ b/scheduler/ladder.go
@@ -1,11 +1,12 @@
 package scheduler
 
 // LadderParams are the thresholds of a Ladder, as slow-down factors. Release
-// is below Throttle (hysteresis), so that a VM doesn't alternate between the two.
+// is below Throttle (hysteresis), so that a VM doesn't alternate between
+// throttling and release.
 type LadderParams struct {
 	Throttle float64
 	Release  float64
-	// Samples is the number of samples that must pass a threshold for a step.
+	// Samples is the number of consecutive samples that must pass a threshold.
 	Samples int
 }
 
--- a/scheduler/plan.go
+++ b/scheduler/plan.go
@@ -33,8 +33,8 @@
 	plan    Plan
 	// limit is the number of placements left.
 	limit int
-	// failedAsks holds the asks that fitted no worker in this round, so that a
-	// long queue of equal tasks is tried once.
+	// failedAsks holds the asks that could not be placed in this round, so that
+	// only the first of many equal tasks is tried.
 	failed map[askKey]bool
 	// starvedGroups have a task that has waited long for capacity.
 	starved []string
@@ -108,7 +108,7 @@
 
 // takeTurn removes a group's first task from the queue and tries to place it. It
 // returns how much the task counts against the group's limit of blocked tasks:
-// zero if it was placed or equals a task that fitted no worker, otherwise one.
+// zero if it was placed or its ask has failed in this round, otherwise one.
 func (r *round) turn(q *Queue) int {
 	t := q.Tasks[0]
 	q.Tasks = q.Tasks[1:]
--- a/shard/core.go
+++ b/shard/core.go
@@ -503,15 +503,15 @@
 }
 
 func (c *Core) answerSnapshotHead(res kv.TxnResult) {
-	headMod := res.Revision
+	headRevision := res.Revision
 	if !res.Succeeded {
 		if !c.stillOurs(res) {
 			c.lose()
 			return
 		}
-		headMod = first(res.Reads[1]).ModRevision
+		headRevision = first(res.Reads[1]).ModRevision
 	}
-	c.headMod = headMod
+	c.headMod = headRevision
 	c.gen = c.snapshot.gen
 	c.seq, c.journalBytes = 0, 0
 	c.committed = c.snapshot.upTo
