--- a/cell/calls.go
+++ b/cell/calls.go
@@ -51,7 +51,7 @@
 	if _, err := labels.Parse(s.GetVmSelector()); err != nil {
 		return result.BadSelector, err.Error()
 	}
-	if o.shares.Exceeds(s.GetGroup(), fromProto(s.GetRequest())) {
+	if o.shares.ExceedsQuota(s.GetGroup(), fromProto(s.GetRequest())) {
 		return result.QuotaExceeded, fmt.Sprintf("more than the quota of group %s", s.GetGroup())
 	}
 	o.propose(&journalv1.TaskRecord{Id: s.GetId(), Change: &journalv1.TaskRecord_Submitted{Submitted: s}})
--- a/cell/owner.go
+++ b/cell/owner.go
@@ -373,7 +373,7 @@
 	w := o.ensureWorker(t.worker)
 	w.view.Free = w.view.Free.Sub(t.given)
 	w.view.Kinds[t.spec.GetKind()]++
-	o.shares.Hold(t.spec.GetGroup(), t.given)
+	o.shares.AddUse(t.spec.GetGroup(), t.given)
 }
 
 func (o *Owner) release(t *task) {
@@ -382,7 +382,7 @@
 	if w.view.Kinds[t.spec.GetKind()]--; w.view.Kinds[t.spec.GetKind()] <= 0 {
 		delete(w.view.Kinds, t.spec.GetKind())
 	}
-	o.shares.Hold(t.spec.GetGroup(), fleet.Resources{}.Sub(t.given))
+	o.shares.AddUse(t.spec.GetGroup(), fleet.Resources{}.Sub(t.given))
 }
 
 func (o *Owner) flushReplies() {
--- a/cell/planning.go
+++ b/cell/planning.go
@@ -170,7 +170,7 @@
 	if pl.Worker.Kinds[pl.Task.Kind]--; pl.Worker.Kinds[pl.Task.Kind] <= 0 {
 		delete(pl.Worker.Kinds, pl.Task.Kind)
 	}
-	o.shares.Hold(pl.Task.Group, fleet.Resources{}.Sub(pl.Task.Ask))
+	o.shares.AddUse(pl.Task.Group, fleet.Resources{}.Sub(pl.Task.Ask))
 }
 
 func (o *Owner) evict(ev scheduler.Eviction) {
--- a/cell/workers.go
+++ b/cell/workers.go
@@ -236,17 +236,17 @@
 
 func (w *worker) excludeKind(now time.Duration, kind string) {
 	if w.excludedKinds == nil {
-		w.excludedKinds, w.view.Barred = map[string]time.Duration{}, map[string]bool{}
+		w.excludedKinds, w.view.ExcludedKinds = map[string]time.Duration{}, map[string]bool{}
 	}
 	w.excludedKinds[kind] = now + kindExclusionPeriod
-	w.view.Barred[kind] = true
+	w.view.ExcludedKinds[kind] = true
 }
 
 func (w *worker) removeExpiredExclusions(now time.Duration) {
 	for kind, until := range w.excludedKinds {
 		if now >= until {
 			delete(w.excludedKinds, kind)
-			delete(w.view.Barred, kind)
+			delete(w.view.ExcludedKinds, kind)
 		}
 	}
 }
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -60,15 +60,15 @@
 // Owner is one claim shard at one entry. It collects store operations, replies
 // and errors for its caller to fetch with Take. It isn't safe for concurrent use.
 type Owner struct {
-	params  Params
-	core    *shard.Core
-	table   *table
-	waiting []waitingReply
-	owning  bool
-	store   []shard.Op
-	replies []Reply
-	errs    []error
-	sweepAt time.Time
+	params         Params
+	core           *shard.Core
+	table          *table
+	waitingReplies []waitingReply
+	owning         bool
+	store          []shard.Op
+	replies        []Reply
+	errs           []error
+	sweepAt        time.Time
 }
 
 // waitingReply is sent once the journal is committed up to pos.
@@ -102,10 +102,10 @@
 	o.store = append(o.store, o.core.Tick(now)...)
 	owning := o.core.Phase() == shard.Owning || o.core.Phase() == shard.Releasing
 	if o.owning && !owning {
-		o.lost()
+		o.loseOwnership()
 	}
 	o.owning = owning
-	o.flush()
+	o.sendCommitted()
 	if o.core.MayDecide(now) {
 		o.sweep(wall)
 	}
@@ -119,34 +119,34 @@
 	o.Tick(now, wall)
 }
 
-func (o *Owner) lost() {
-	for _, w := range o.waiting {
+func (o *Owner) loseOwnership() {
+	for _, w := range o.waitingReplies {
 		// A grant may or may not be durable; the holder must not send the request.
 		o.replies = append(o.replies, Reply{Ticket: w.reply.Ticket, Code: result.OwnerUnavailable})
 	}
-	o.waiting = nil
+	o.waitingReplies = nil
 	o.table.Reset()
 }
 
-func (o *Owner) flush() {
-	rest := o.waiting[:0]
-	for _, w := range o.waiting {
+func (o *Owner) sendCommitted() {
+	rest := o.waitingReplies[:0]
+	for _, w := range o.waitingReplies {
 		if w.pos <= o.core.Committed() || o.params.NoCommit {
 			o.replies = append(o.replies, w.reply)
 			continue
 		}
 		rest = append(rest, w)
 	}
-	o.waiting = rest
+	o.waitingReplies = rest
 }
 
 func (o *Owner) answerAfter(pos uint64, r Reply) {
-	o.waiting = append(o.waiting, waitingReply{pos, r})
-	o.flush()
+	o.waitingReplies = append(o.waitingReplies, waitingReply{pos, r})
+	o.sendCommitted()
 }
 
 // refuse replies with an error, and reports true, if nothing can be recorded now.
-func (o *Owner) refused(now time.Duration, ticket uint64) bool {
+func (o *Owner) refuse(now time.Duration, ticket uint64) bool {
 	code := result.OK
 	if !o.core.MayDecide(now) {
 		code = result.OwnerUnavailable
@@ -164,7 +164,7 @@
 // unless the first is proven not to have run. Repeats get the state of the first
 // request's claim. The same request may ask again after its answer was lost.
 func (o *Owner) Claim(now time.Duration, wall time.Time, ticket uint64, r Request) {
-	if o.refused(now, ticket) {
+	if o.refuse(now, ticket) {
 		return
 	}
 	c := o.table.claims[r.Key]
@@ -177,7 +177,7 @@
 		o.answerAfter(c.pos, Reply{Ticket: ticket, Code: result.KeyReused, Phase: c.rec.GetPhase()})
 		return
 	}
-	o.repeat(wall, ticket, c, r)
+	o.answerRepeat(wall, ticket, c, r)
 }
 
 func (o *Owner) grant(wall time.Time, r Request) *claim {
@@ -188,7 +188,7 @@
 	})
 }
 
-func (o *Owner) repeat(wall time.Time, ticket uint64, c *claim, r Request) {
+func (o *Owner) answerRepeat(wall time.Time, ticket uint64, c *claim, r Request) {
 	if c.rec.GetPhase() == journalv1.ClaimPhase_CLAIM_PHASE_GRANTED {
 		if c.rec.GetRequestId() == r.RequestID {
 			o.answerAfter(c.pos, Reply{Ticket: ticket, Code: result.OK, Phase: c.rec.GetPhase()})
@@ -201,7 +201,7 @@
 			})
 			return
 		}
-		c = o.end(wall, c, journalv1.ClaimPhase_CLAIM_PHASE_UNKNOWN, nil)
+		c = o.recordEnd(wall, c, journalv1.ClaimPhase_CLAIM_PHASE_UNKNOWN, nil)
 	}
 	reply := Reply{Ticket: ticket, Code: result.ClaimUnknown, Phase: c.rec.GetPhase(), Outcome: c.rec.GetOutcome()}
 	if c.rec.GetPhase() == journalv1.ClaimPhase_CLAIM_PHASE_DONE {
@@ -211,7 +211,7 @@
 }
 
 // recordEnd records how a claim ended; the claim is kept for the retention time.
-func (o *Owner) end(wall time.Time, c *claim, phase journalv1.ClaimPhase, outcome *journalv1.ClaimOutcome) *claim {
+func (o *Owner) recordEnd(wall time.Time, c *claim, phase journalv1.ClaimPhase, outcome *journalv1.ClaimOutcome) *claim {
 	rec := proto.CloneOf(c.rec)
 	rec.Phase, rec.Outcome = phase, outcome
 	rec.ExpiresUnixMs = wall.Add(o.params.Retain).UnixMilli()
@@ -221,7 +221,7 @@
 // Complete records the outcome of the request that holds a claim: done, unknown,
 // or released, which means that it certainly has not run. Repeating it is safe.
 func (o *Owner) Complete(now time.Duration, wall time.Time, ticket uint64, key, requestID string, phase journalv1.ClaimPhase, outcome *journalv1.ClaimOutcome) {
-	if o.refused(now, ticket) {
+	if o.refuse(now, ticket) {
 		return
 	}
 	c := o.table.claims[key]
@@ -234,7 +234,7 @@
 		rec.Phase = phase
 		o.propose(rec)
 	} else {
-		o.end(wall, c, phase, outcome)
+		o.recordEnd(wall, c, phase, outcome)
 	}
 	o.answerAfter(o.core.Proposed(), Reply{Ticket: ticket, Code: result.OK, Phase: phase})
 }
@@ -250,20 +250,20 @@
 }
 
 // sweepInterval is the time between two scans for claims to end or remove.
-const sweepEvery = 10 * time.Second
+const sweepInterval = 10 * time.Second
 
 func (o *Owner) sweep(wall time.Time) {
 	if wall.Before(o.sweepAt) {
 		return
 	}
-	o.sweepAt = wall.Add(sweepEvery)
+	o.sweepAt = wall.Add(sweepInterval)
 	for _, key := range o.table.keys() {
 		c := o.table.claims[key]
 		expired := time.UnixMilli(c.rec.GetExpiresUnixMs()).Before(wall)
 		if expired && c.rec.GetPhase() != journalv1.ClaimPhase_CLAIM_PHASE_GRANTED {
 			o.propose(&journalv1.ClaimRecord{Key: key, Phase: journalv1.ClaimPhase_CLAIM_PHASE_FORGOTTEN})
 		} else if expired {
-			o.end(wall, c, journalv1.ClaimPhase_CLAIM_PHASE_UNKNOWN, nil)
+			o.recordEnd(wall, c, journalv1.ClaimPhase_CLAIM_PHASE_UNKNOWN, nil)
 		}
 	}
 }
--- a/claim/claim_fuzz_test.go
+++ b/claim/claim_fuzz_test.go
@@ -42,20 +42,20 @@
 }
 
 type node struct {
-	id       string
-	owner    *Owner
-	dead     bool
-	life     int
-	lease    int64
-	store    []shard.Op
-	storeCut bool
+	id          string
+	owner       *Owner
+	crashed     bool
+	incarnation int
+	lease       int64
+	store       []shard.Op
+	storeCut    bool
 }
 
 // call is a claim or completion that waits for its reply.
 type call struct {
-	op     operation
-	began  int64
-	client int
+	op      operation
+	started int64
+	client  int
 }
 
 // operation is the input of one call in porcupine's history.
@@ -78,19 +78,19 @@
 	now     time.Duration
 	kv      *standin.KVStore
 	nodes   []*node
-	late    []func()
+	delayed []func()
 	calls   map[uint64]call
 	ticket  uint64
 	request int
 	// runsByKey counts runs; a released request has not run.
-	ran     map[string]int
-	granted map[string]string // request to key
-	history []porcupine.Operation
-	time    int64
+	runsByKey map[string]int
+	granted   map[string]string // request to key
+	history   []porcupine.Operation
+	time      int64
 }
 
 func newSim(pick func(n int) int, m mutation) *sim {
-	s := &sim{pick: pick, mutated: m, now: time.Hour, calls: map[uint64]call{}, ran: map[string]int{}, granted: map[string]string{}}
+	s := &sim{pick: pick, mutated: m, now: time.Hour, calls: map[uint64]call{}, runsByKey: map[string]int{}, granted: map[string]string{}}
 	base := time.Unix(0, 0)
 	s.kv = standin.NewKVStore(func() time.Time { return base.Add(s.now) })
 	for i := range 2 {
@@ -102,8 +102,8 @@
 }
 
 func (s *sim) boot(n *node) {
-	n.life++
-	n.dead, n.storeCut, n.lease, n.store = false, false, 0, nil
+	n.incarnation++
+	n.crashed, n.storeCut, n.lease, n.store = false, false, 0, nil
 	p := DefaultParams("claim-0", n.id, time.Hour)
 	p.NoCommit = s.mutated.noCommit
 	n.owner = NewOwner(p, shard.Params{
@@ -121,7 +121,7 @@
 	for _, r := range replies {
 		if c, ok := s.calls[r.Ticket]; ok {
 			delete(s.calls, r.Ticket)
-			s.answered(c, r)
+			s.handleReply(c, r)
 		}
 	}
 	if len(errs) > 0 {
@@ -132,7 +132,7 @@
 
 // handleReply processes a reply as the entry does: a granted request runs at
 // once, or is refused by its endpoint and released.
-func (s *sim) answered(c call, r Reply) {
+func (s *sim) handleReply(c call, r Reply) {
 	known := r.Code == result.OK || c.op.kind == opClaim && r.Phase != journalv1.ClaimPhase_CLAIM_PHASE_UNSPECIFIED
 	if !known {
 		s.record(c, false, false)
@@ -151,7 +151,7 @@
 	if s.pick(4) == 0 {
 		kind = opRelease
 	} else {
-		s.ran[c.op.key]++
+		s.runsByKey[c.op.key]++
 	}
 	if s.pick(5) > 0 { // otherwise the holder crashes before it reports the outcome
 		s.call(s.nodes[s.pick(2)], operation{c.op.key, c.op.request, kind})
@@ -159,7 +159,7 @@
 }
 
 // neverReturned is the return time of an operation without a known outcome.
-const never = 1 << 40
+const neverReturned = 1 << 40
 
 type output struct{ known, granted bool }
 
@@ -169,20 +169,20 @@
 	s.time++
 	end := s.time
 	if !known {
-		end = never
+		end = neverReturned
 	}
 	s.history = append(s.history, porcupine.Operation{
-		ClientId: c.client, Input: c.op, Call: c.began, Output: output{known, granted}, Return: end,
+		ClientId: c.client, Input: c.op, Call: c.started, Output: output{known, granted}, Return: end,
 	})
 }
 
 func (s *sim) call(n *node, op operation) {
-	if n.dead {
+	if n.crashed {
 		return
 	}
 	s.ticket++
 	s.time++
-	s.calls[s.ticket] = call{op: op, began: s.time, client: int(s.ticket)}
+	s.calls[s.ticket] = call{op: op, started: s.time, client: int(s.ticket)}
 	if op.kind == opClaim {
 		n.owner.Claim(s.now, s.wall(), s.ticket, Request{Key: op.key, Holder: n.id, RequestID: op.request, Timeout: 2 * time.Second})
 		return
@@ -200,9 +200,9 @@
 	}
 	op := n.store[0]
 	n.store = n.store[1:]
-	incarnation := n.life
+	incarnation := n.incarnation
 	answer := func(a shard.Answer) {
-		if n.life == incarnation && !n.dead {
+		if n.incarnation == incarnation && !n.crashed {
 			n.owner.StoreAnswer(s.now, s.wall(), a)
 		}
 	}
@@ -228,10 +228,10 @@
 	case 2:
 		answer(lost)
 	case 3:
-		s.late = append(s.late, func() { do() })
+		s.delayed = append(s.delayed, func() { do() })
 		answer(lost)
 	default:
-		s.late = append(s.late, func() { do() })
+		s.delayed = append(s.delayed, func() { do() })
 		answer(do())
 	}
 }
@@ -256,7 +256,7 @@
 func (s *sim) run(d time.Duration, paused int) error {
 	for end := s.now + d; s.now < end; s.now += 50 * time.Millisecond {
 		for i, n := range s.nodes {
-			if n.dead || i == paused {
+			if n.crashed || i == paused {
 				continue
 			}
 			s.keepAlive(n)
@@ -288,9 +288,9 @@
 		s.deliver(n, fate)
 	case a < 16:
 		s.now += time.Duration(s.pick(400)) * time.Millisecond
-	case a < 17 && len(s.late) > 0:
-		s.late[0]()
-		s.late = s.late[1:]
+	case a < 17 && len(s.delayed) > 0:
+		s.delayed[0]()
+		s.delayed = s.delayed[1:]
 	case a < 18:
 		n.storeCut = !n.storeCut
 	case a < 19:
@@ -298,11 +298,11 @@
 	case a < 20:
 		n.owner.Core().SetWanted(s.pick(2) == 0)
 	case a < 21:
-		return s.episode()
+		return s.staleCommitEpisode()
 	default:
 		return s.run(time.Duration(50<<s.pick(7))*time.Millisecond, s.pick(4))
 	}
-	if n.dead {
+	if n.crashed {
 		return nil
 	}
 	n.owner.Tick(s.now, s.wall())
@@ -311,7 +311,7 @@
 
 // staleCommitEpisode lets an owner's commit arrive after another node has taken
 // over, and then crashes that node too.
-func (s *sim) episode() error {
+func (s *sim) staleCommitEpisode() error {
 	first := s.pick(2)
 	n, other := s.nodes[first], s.nodes[1-first]
 	claim := func(n *node) {
@@ -319,7 +319,7 @@
 		s.call(n, operation{fmt.Sprint("k", s.pick(claimKeys)), fmt.Sprint("r", s.request), opClaim})
 	}
 	claim(n)
-	if !n.dead {
+	if !n.crashed {
 		n.owner.Tick(s.now, s.wall())
 		if err := s.collect(n); err != nil {
 			return err
@@ -327,15 +327,15 @@
 		s.deliver(n, 3)
 	}
 	err := s.run(2*claimTTL, first)
-	for _, fn := range s.late {
+	for _, fn := range s.delayed {
 		fn()
 	}
-	s.late = nil
+	s.delayed = nil
 	claim(other)
 	if err == nil {
 		err = s.run(time.Second, first)
 	}
-	if !other.dead {
+	if !other.crashed {
 		s.crash(other)
 	}
 	if err == nil {
@@ -350,14 +350,14 @@
 }
 
 func (s *sim) crash(n *node) {
-	if n.dead {
+	if n.crashed {
 		s.boot(n)
 		return
 	}
-	n.dead = true
+	n.crashed = true
 	for _, op := range n.store {
 		if op.Txn != nil {
-			s.late = append(s.late, func() { _, _ = s.kv.Do(context.Background(), *op.Txn) })
+			s.delayed = append(s.delayed, func() { _, _ = s.kv.Do(context.Background(), *op.Txn) })
 		}
 	}
 	n.store = nil
@@ -365,7 +365,7 @@
 
 // check verifies that no key ran twice and that the history is linearizable.
 func (s *sim) check() error {
-	for key, n := range s.ran {
+	for key, n := range s.runsByKey {
 		if n > 1 {
 			return errors.Errorf("key %s ran %d times", key, n)
 		}
@@ -384,7 +384,7 @@
 // whether that request's claim has ended.
 type claimState struct {
 	holder string
-	over   bool
+	ended  bool
 }
 
 var claimModel = porcupine.Model{
@@ -411,7 +411,7 @@
 	switch in.kind {
 	case opClaim:
 		free := st.holder == ""
-		own := st.holder == in.request && !st.over
+		own := st.holder == in.request && !st.ended
 		if o.known && o.granted != (free || own) {
 			return false, st
 		}
@@ -426,7 +426,7 @@
 		return true, st
 	default:
 		if st.holder == in.request {
-			return true, claimState{holder: in.request, over: true}
+			return true, claimState{holder: in.request, ended: true}
 		}
 		return true, st
 	}
@@ -434,7 +434,7 @@
 
 const claimSteps = 90
 
-func seeded(seed uint64, m mutation) error {
+func runSeed(seed uint64, m mutation) error {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	s := newSim(rng.IntN, m)
 	for range claimSteps {
@@ -469,7 +469,7 @@
 		runs = 60
 	}
 	for seed := range runs {
-		if err := seeded(seed, mutation{}); err != nil {
+		if err := runSeed(seed, mutation{}); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 	}
@@ -484,7 +484,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(500) {
-				if err := seeded(seed, m); err != nil {
+				if err := runSeed(seed, m); err != nil {
 					t.Logf("found by seed %d: %v", seed, err)
 					return
 				}
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -31,7 +31,7 @@
 // depends only on the arguments, so that entries with the same view agree.
 // Disagreement is harmless: the store decides ownership.
 func Assign(shards []string, entries []Entry) map[string]string {
-	live := usable(entries)
+	live := candidates(entries)
 	out := make(map[string]string, len(shards))
 	if len(live) == 0 {
 		return out
@@ -52,7 +52,7 @@
 	return out
 }
 
-func usable(entries []Entry) []Entry {
+func candidates(entries []Entry) []Entry {
 	var live []Entry
 	for _, e := range entries {
 		if !e.Draining {
--- a/scheduler/filter_interference.go
+++ b/scheduler/filter_interference.go
@@ -11,21 +11,21 @@
 	if len(w.Services) == 0 || t.Urgent {
 		return true // an urgent task is as important as a service's requests
 	}
-	if w.Barred[t.Kind] {
+	if w.ExcludedKinds[t.Kind] {
 		return false
 	}
-	if f.model.with(w, t.Kind) <= f.model.params.Tolerated {
+	if f.model.predictWith(w, t.Kind) <= f.model.params.Tolerated {
 		return true
 	}
 	// The slow-down has another cause if this kind adds almost nothing to it.
-	return f.model.harmless(w, t.Kind)
+	return f.model.isHarmless(w, t.Kind)
 }
 
 // harmlessCoefficient is the added slow-down up to which a kind is not considered
 // a cause.
 const harmlessCoefficient = 0.02
 
-func (m *Interference) harmless(w *Worker, kind string) bool {
+func (m *Interference) isHarmless(w *Worker, kind string) bool {
 	for _, s := range w.Services {
 		if m.Coefficient(s, kind, w.Load) > harmlessCoefficient {
 			return false
--- a/scheduler/firstfit.go
+++ b/scheduler/firstfit.go
@@ -9,7 +9,7 @@
 
 // NewFirstFit returns a FirstFit with its filters.
 func NewFirstFit() *FirstFit {
-	return &FirstFit{filters: []Filter{usableFilter{}, roomFilter{}, selectorFilter{}}}
+	return &FirstFit{filters: []Filter{usableFilter{}, capacityFilter{}, selectorFilter{}}}
 }
 
 // Plan implements Scheduler.
@@ -22,7 +22,7 @@
 	var plan Plan
 	for _, t := range all {
 		if !f.place(snap, t, &plan) {
-			plan.Waiting = append(plan.Waiting, Waiting{t, ReasonNoRoom})
+			plan.Waiting = append(plan.Waiting, Waiting{t, ReasonNoCapacity})
 		}
 	}
 	return plan
@@ -35,7 +35,7 @@
 		}
 		w.Free = w.Free.Sub(t.Ask)
 		w.Kinds[t.Kind]++
-		snap.Shares.Hold(t.Group, t.Ask)
+		snap.Shares.AddUse(t.Group, t.Ask)
 		plan.Placements = append(plan.Placements, Placement{Task: t, Worker: w, Fitting: 1})
 		return true
 	}
@@ -44,12 +44,12 @@
 
 // Explain implements Scheduler.
 func (f *FirstFit) Explain(t *Task, workers []*Worker) map[string]int {
-	return explain(f.filters, t, workers)
+	return countRejections(f.filters, t, workers)
 }
 
 // countRejections counts the workers by the first filter that rejects t on them,
 // and those that pass all filters as "fits".
-func explain(filters []Filter, t *Task, workers []*Worker) map[string]int {
+func countRejections(filters []Filter, t *Task, workers []*Worker) map[string]int {
 	counts := map[string]int{}
 	for _, w := range workers {
 		name := firstRejection(filters, t, w)
--- a/scheduler/interference.go
+++ b/scheduler/interference.go
@@ -18,9 +18,9 @@
 // samples beside a service starts from the mean of its coefficients elsewhere.
 type Interference struct {
 	params  InterferenceParams
-	filters map[filterKey]*filter
+	filters map[kalmanKey]*kalmanFilter
 	// kindMeans holds each kind's mean coefficient over all filters.
-	kinds map[string]*mean
+	kindMeans map[string]*mean
 }
 
 // InterferenceParams are the parameters of the model.
@@ -38,13 +38,13 @@
 // loadLevels is the number of equal ranges into which load is divided.
 const loadLevels = 4
 
-type filterKey struct {
+type kalmanKey struct {
 	service string
 	level   int
 }
 
 // kalmanFilter estimates the coefficients of one service at one level of load.
-type filter struct {
+type kalmanFilter struct {
 	index  map[string]int
 	names  []string
 	values []float64
@@ -56,10 +56,10 @@
 
 // NewInterference returns a model without samples.
 func NewInterference(params InterferenceParams) *Interference {
-	return &Interference{params: params, filters: map[filterKey]*filter{}, kinds: map[string]*mean{}}
+	return &Interference{params: params, filters: map[kalmanKey]*kalmanFilter{}, kindMeans: map[string]*mean{}}
 }
 
-func level(load float64) int {
+func loadLevel(load float64) int {
 	l := int(load * loadLevels)
 	return min(max(l, 0), loadLevels-1)
 }
@@ -70,24 +70,24 @@
 	if len(kinds) == 0 || math.IsNaN(factor) || factor <= 0 {
 		return
 	}
-	key := filterKey{service, level(load)}
+	key := kalmanKey{service, loadLevel(load)}
 	f := m.filters[key]
 	if f == nil {
-		f = &filter{index: map[string]int{}}
+		f = &kalmanFilter{index: map[string]int{}}
 		m.filters[key] = f
 	}
 	names := slices.Sorted(maps.Keys(kinds))
 	for _, name := range names {
-		f.know(name, m.prior(name), m.params.Prior)
+		f.addKind(name, m.prior(name), m.params.Prior)
 	}
 	f.update(m.params, factor-1, kinds)
 	for _, name := range names {
-		m.remember(name)
+		m.updateMean(name)
 	}
 }
 
 // addKind adds a kind with a first estimate unless it exists.
-func (f *filter) know(name string, value, variance float64) {
+func (f *kalmanFilter) addKind(name string, value, variance float64) {
 	if _, ok := f.index[name]; ok {
 		return
 	}
@@ -103,7 +103,7 @@
 }
 
 // update performs one step of the Kalman filter with the measured slow-down less 1.
-func (f *filter) update(p InterferenceParams, measured float64, kinds map[string]int) {
+func (f *kalmanFilter) update(p InterferenceParams, measured float64, kinds map[string]int) {
 	n := len(f.names)
 	counts := make([]float64, n)
 	for name, c := range kinds {
@@ -130,7 +130,7 @@
 }
 
 // updateMean recomputes a kind's mean coefficient over all filters.
-func (m *Interference) remember(kind string) {
+func (m *Interference) updateMean(kind string) {
 	mn := &mean{}
 	for _, f := range m.filters {
 		if i, ok := f.index[kind]; ok {
@@ -138,11 +138,11 @@
 			mn.n++
 		}
 	}
-	m.kinds[kind] = mn
+	m.kindMeans[kind] = mn
 }
 
 func (m *Interference) prior(kind string) float64 {
-	if mn := m.kinds[kind]; mn != nil && mn.n > 0 {
+	if mn := m.kindMeans[kind]; mn != nil && mn.n > 0 {
 		return mn.sum / mn.n
 	}
 	return 0
@@ -151,7 +151,7 @@
 // Coefficient returns the slow-down that one task of kind adds to service under
 // load.
 func (m *Interference) Coefficient(service, kind string, load float64) float64 {
-	if f := m.filters[filterKey{service, level(load)}]; f != nil {
+	if f := m.filters[kalmanKey{service, loadLevel(load)}]; f != nil {
 		if i, ok := f.index[kind]; ok {
 			return f.values[i]
 		}
@@ -170,7 +170,7 @@
 
 // predictWith returns the worst predicted slow-down of the services on w if one
 // task of kind is added.
-func (m *Interference) with(w *Worker, kind string) float64 {
+func (m *Interference) predictWith(w *Worker, kind string) float64 {
 	worst := 1.0
 	for _, s := range w.Services {
 		f := m.Predict(s, w.Load, w.Kinds) + m.Coefficient(s, kind, w.Load)
@@ -191,7 +191,7 @@
 }
 
 // maxHistoryEntries bounds the changes recorded per worker.
-const historyLength = 64
+const maxHistoryEntries = 64
 
 // Record records the kinds that run from now on.
 func (h *History) Record(now time.Duration, kinds map[string]int) {
@@ -200,8 +200,8 @@
 		kept[k] = n
 	}
 	h.entries = append(h.entries, historyEntry{now, kept})
-	if len(h.entries) > historyLength {
-		h.entries = append(h.entries[:0], h.entries[len(h.entries)-historyLength/2:]...)
+	if len(h.entries) > maxHistoryEntries {
+		h.entries = append(h.entries[:0], h.entries[len(h.entries)-maxHistoryEntries/2:]...)
 	}
 }
 
--- a/scheduler/ladder.go
+++ b/scheduler/ladder.go
@@ -30,8 +30,8 @@
 // its services' slow-down. The step before these, avoiding placements that slow
 // a service down, is part of the planner (interferenceFilter).
 type Ladder struct {
-	throttled bool
-	high, low int
+	throttled               bool
+	highSamples, lowSamples int
 }
 
 // Next processes one sample: the measured slow-down, and the one predicted
@@ -40,34 +40,34 @@
 // is at most Release, and evicted one by one while it is above.
 func (l *Ladder) Next(p LadderParams, measured, unthrottled float64) Step {
 	if !l.throttled {
-		return l.watch(p, measured)
+		return l.nextUnthrottled(p, measured)
 	}
 	if unthrottled <= p.Release {
-		l.low++
-		l.high = 0
+		l.lowSamples++
+		l.highSamples = 0
 	} else {
-		l.high++
-		l.low = 0
+		l.highSamples++
+		l.lowSamples = 0
 	}
 	switch {
-	case l.low >= p.Samples:
+	case l.lowSamples >= p.Samples:
 		*l = Ladder{}
 		return StepRelease
-	case l.high >= p.Samples:
-		l.high = 0
+	case l.highSamples >= p.Samples:
+		l.highSamples = 0
 		return StepEvict
 	default:
 		return StepNone
 	}
 }
 
-func (l *Ladder) watch(p LadderParams, measured float64) Step {
+func (l *Ladder) nextUnthrottled(p LadderParams, measured float64) Step {
 	if measured < p.Throttle {
-		l.high = 0
+		l.highSamples = 0
 		return StepNone
 	}
-	l.high++
-	if l.high < p.Samples {
+	l.highSamples++
+	if l.highSamples < p.Samples {
 		return StepNone
 	}
 	*l = Ladder{throttled: true}
--- a/scheduler/plan.go
+++ b/scheduler/plan.go
@@ -19,9 +19,9 @@
 	for _, w := range snap.Workers {
 		w.reservedFor = "" // each round makes its own reservations
 	}
-	r.urgent()
-	r.reserve()
-	r.fair()
+	r.placeUrgentTasks()
+	r.reserveVMs()
+	r.placeByShares()
 	return r.plan
 }
 
@@ -35,9 +35,9 @@
 	limit int
 	// failedAsks holds the asks that could not be placed in this round, so that
 	// only the first of many equal tasks is tried.
-	failed map[askKey]bool
+	failedAsks map[askKey]bool
 	// starvedGroups have a task that has waited long for capacity.
-	starved []string
+	starvedGroups []string
 }
 
 // askKey identifies tasks that can be placed on the same workers.
@@ -55,7 +55,7 @@
 	return k
 }
 
-func (r *round) urgent() {
+func (r *round) placeUrgentTasks() {
 	for _, q := range r.snap.Queues {
 		rest := q.Tasks[:0]
 		for _, t := range q.Tasks {
@@ -71,34 +71,34 @@
 
 func (r *round) placeUrgent(t *Task) {
 	if !r.snap.Shares.WithinQuota(t.Group, t.Ask) {
-		r.wait(t, ReasonQuota)
+		r.recordWaiting(t, ReasonQuota)
 		return
 	}
 	if r.place(t) {
 		return
 	}
 	if r.evictFor(t) {
-		r.wait(t, ReasonEvicting)
+		r.recordWaiting(t, ReasonEvicting)
 		return
 	}
-	r.wait(t, r.whyNot(t))
+	r.recordWaiting(t, r.waitReason(t))
 }
 
-func (r *round) fair() {
+func (r *round) placeByShares() {
 	pick := newPicker(r.snap.Shares, r.snap.Queues)
 	own := map[string]bool{}
 	blocked := map[string]int{}
 	for _, q := range r.snap.Queues {
 		own[q.Group] = len(q.Tasks) > 0
 	}
-	r.failed = map[askKey]bool{}
+	r.failedAsks = map[askKey]bool{}
 	for r.limit > 0 {
 		group, ok := pick.next(own)
 		if !ok {
 			return
 		}
 		q := r.queues[group]
-		blocked[group] += r.turn(q)
+		blocked[group] += r.takeTurn(q)
 		if len(q.Tasks) == 0 || blocked[group] >= r.planner.limits.BlockedPerGroup {
 			own[group] = false
 			pick.mark(group, -1)
@@ -109,38 +109,38 @@
 // takeTurn removes a group's first task from the queue and tries to place it. It
 // returns how much the task counts against the group's limit of blocked tasks:
 // zero if it was placed or its ask has failed in this round, otherwise one.
-func (r *round) turn(q *Queue) int {
+func (r *round) takeTurn(q *Queue) int {
 	t := q.Tasks[0]
 	q.Tasks = q.Tasks[1:]
 	if !r.snap.Shares.WithinQuota(t.Group, t.Ask) {
-		r.wait(t, ReasonQuota)
+		r.recordWaiting(t, ReasonQuota)
 		return 1
 	}
-	if r.leavesHole(t) {
-		r.wait(t, ReasonShare)
+	if r.yieldsToStarved(t) {
+		r.recordWaiting(t, ReasonShare)
 		return 1
 	}
 	key := keyOf(t)
-	if r.failed[key] {
-		r.wait(t, ReasonNoRoom)
+	if r.failedAsks[key] {
+		r.recordWaiting(t, ReasonNoCapacity)
 		return 0
 	}
 	if r.place(t) {
 		return 0
 	}
-	r.failed[key] = true
-	reason := r.whyNot(t)
-	r.wait(t, reason)
-	if reason == ReasonNoRoom && t.Waited >= r.planner.limits.ReserveAfter {
-		r.starved = append(r.starved, t.Group)
+	r.failedAsks[key] = true
+	reason := r.waitReason(t)
+	r.recordWaiting(t, reason)
+	if reason == ReasonNoCapacity && t.Waited >= r.planner.limits.ReserveAfter {
+		r.starvedGroups = append(r.starvedGroups, t.Group)
 	}
 	return 1
 }
 
 // yieldsToStarved reports whether a task must wait because its group is above its
 // share, so that free capacity accumulates for a group below its share.
-func (r *round) leavesHole(t *Task) bool {
-	for _, other := range r.starved {
+func (r *round) yieldsToStarved(t *Task) bool {
+	for _, other := range r.starvedGroups {
 		if other != t.Group && r.snap.Shares.Above(t.Group, other) {
 			return true
 		}
@@ -148,7 +148,7 @@
 	return false
 }
 
-func (r *round) wait(t *Task, reason Reason) {
+func (r *round) recordWaiting(t *Task, reason Reason) {
 	r.plan.Waiting = append(r.plan.Waiting, Waiting{t, reason})
 }
 
@@ -172,7 +172,7 @@
 	}
 	best.Free = best.Free.Sub(t.Ask)
 	best.Kinds[t.Kind]++
-	r.snap.Shares.Hold(t.Group, t.Ask)
+	r.snap.Shares.AddUse(t.Group, t.Ask)
 	r.limit--
 	r.plan.Placements = append(r.plan.Placements, Placement{Task: t, Worker: best, Score: bestScore, Fitting: fitting})
 	return true
@@ -187,14 +187,14 @@
 }
 
 // waitReason distinguishes a task that fits an empty VM from one that fits none.
-func (r *round) whyNot(t *Task) Reason {
-	if r.fitsSome(t) {
-		return ReasonNoRoom
+func (r *round) waitReason(t *Task) Reason {
+	if r.fitsAnyVM(t) {
+		return ReasonNoCapacity
 	}
 	return ReasonFitsNoVM
 }
 
-func (r *round) fitsSome(t *Task) bool {
+func (r *round) fitsAnyVM(t *Task) bool {
 	for _, w := range r.snap.Workers {
 		if t.Ask.Fits(w.Capacity) && (selectorFilter{}).Passes(t, w) {
 			return true
@@ -206,7 +206,7 @@
 // reserveVMs reserves VMs for large tasks that have waited long, so that a
 // stream of small tasks can't starve them. It chooses the VM with the least
 // missing capacity; the tasks on it run to their end.
-func (r *round) reserve() {
+func (r *round) reserveVMs() {
 	left := int(math.Ceil(r.planner.limits.ReservedPart * float64(len(r.snap.Workers))))
 	for _, q := range r.snap.Queues {
 		for i, t := range q.Tasks {
@@ -230,7 +230,7 @@
 		if t.Ask.Fits(w.Free) {
 			return false // it fits without a reservation
 		}
-		if best == nil || missing(t.Ask, w) < missing(t.Ask, best) {
+		if best == nil || missingCapacity(t.Ask, w) < missingCapacity(t.Ask, best) {
 			best = w
 		}
 	}
@@ -243,7 +243,7 @@
 
 // missingCapacity sums, over the kinds of resource, the fraction of the VM that
 // the ask exceeds its free capacity by.
-func missing(ask fleet.Resources, w *Worker) float64 {
+func missingCapacity(ask fleet.Resources, w *Worker) float64 {
 	short := ask.Sub(w.Free)
 	return fraction(max(short.CPUMilli, 0), w.Capacity.CPUMilli) +
 		fraction(max(short.MemoryMiB, 0), w.Capacity.MemoryMiB) +
@@ -259,7 +259,7 @@
 		if !w.Usable || !t.Ask.Fits(w.Capacity) || !(selectorFilter{}).Passes(t, w) {
 			continue
 		}
-		v, l, ok := cheapest(t.Ask, w)
+		v, l, ok := cheapestVictims(t.Ask, w)
 		if !ok || len(v) > r.snap.EvictionsLeft {
 			continue
 		}
@@ -298,7 +298,7 @@
 
 // cheapestVictims returns tasks on w whose eviction frees capacity for ask,
 // chosen in order of increasing loss, and their total loss in seconds.
-func cheapest(ask fleet.Resources, w *Worker) ([]*Running, float64, bool) {
+func cheapestVictims(ask fleet.Resources, w *Worker) ([]*Running, float64, bool) {
 	byLoss := append([]*Running(nil), w.Running...)
 	sort.Slice(byLoss, func(i, j int) bool {
 		if byLoss[i].Loss != byLoss[j].Loss {
@@ -322,5 +322,5 @@
 // Explain counts the workers by the first filter that rejects t on them.
 // Workers that pass all filters count as "fits".
 func (p *Planner) Explain(t *Task, workers []*Worker) map[string]int {
-	return explain(p.filters, t, workers)
+	return countRejections(p.filters, t, workers)
 }
--- a/scheduler/plan_test.go
+++ b/scheduler/plan_test.go
@@ -54,7 +54,7 @@
 
 // TestUnplaceableTaskBlocksNone guards against a task that is too large for each
 // VM blocking the tasks behind it in the queue.
-func TestUnfitBlocksNobody(t *testing.T) {
+func TestUnplaceableTaskBlocksNone(t *testing.T) {
 	p := NewPlanner(DefaultLimits, nil)
 	shares := oneGroup()
 	huge := &Task{ID: "huge", Group: "g", Ask: cores(100)}
@@ -98,11 +98,11 @@
 // TestAboveShareYieldsToStarved guards against starvation: while a group below its
 // share waits long for capacity, a group above its share must not take the small
 // amounts of free capacity that accumulate for it.
-func TestOverShareLeavesHoles(t *testing.T) {
+func TestAboveShareYieldsToStarved(t *testing.T) {
 	shares := NewShares([]GroupSpec{{Name: "many", Share: 1}, {Name: "few", Share: 1}}, cores(8), time.Minute)
 	w := newWorker("w", cores(8))
 	w.Free = cores(1)
-	shares.Hold("many", cores(7))
+	shares.AddUse("many", cores(7))
 	large := &Task{ID: "large", Group: "few", Ask: cores(2), Waited: time.Minute}
 	small := &Task{ID: "small", Group: "many", Ask: cores(1)}
 	planner := NewPlanner(Limits{Placements: 9, BlockedPerGroup: 9, ReserveAfter: time.Second}, nil)
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -32,7 +32,7 @@
 	// Running are the tasks that an urgent task could replace.
 	Running []*Running
 	// ExcludedKinds were recently evicted from the VM to protect a service.
-	Barred map[string]bool
+	ExcludedKinds map[string]bool
 	// reservedFor is the id of the waiting task for which the VM is reserved.
 	reservedFor string
 }
@@ -103,14 +103,14 @@
 type Reason string
 
 const (
-	ReasonNoRoom    Reason = "no worker has room now"
-	ReasonFitsNoVM  Reason = "no VM of the cell is large enough or matches the selector"
-	ReasonQuota     Reason = "the group's quota is in use"
-	ReasonEvicting  Reason = "room is being made by an eviction"
-	ReasonReserved  Reason = "a VM is kept free for it"
-	ReasonShare     Reason = "the group is above its share, and one below its share waits for room"
-	ReasonBehind    Reason = "other work of the group is ahead"
-	ReasonPlanLimit Reason = "the planner's limit per round was reached"
+	ReasonNoCapacity Reason = "no worker has room now"
+	ReasonFitsNoVM   Reason = "no VM of the cell is large enough or matches the selector"
+	ReasonQuota      Reason = "the group's quota is in use"
+	ReasonEvicting   Reason = "room is being made by an eviction"
+	ReasonReserved   Reason = "a VM is kept free for it"
+	ReasonShare      Reason = "the group is above its share, and one below its share waits for room"
+	ReasonBehind     Reason = "other work of the group is ahead"
+	ReasonPlanLimit  Reason = "the planner's limit per round was reached"
 )
 
 // Plan lists the placements and evictions to carry out, and the tasks that wait.
@@ -153,7 +153,7 @@
 	weightAvoid        = 4.0
 )
 
-type weighted struct {
+type weightedScorer struct {
 	scorer Scorer
 	weight float64
 }
@@ -162,7 +162,7 @@
 // between plans.
 type Planner struct {
 	filters []Filter
-	scorers []weighted
+	scorers []weightedScorer
 	limits  Limits
 }
 
@@ -192,8 +192,8 @@
 func NewPlanner(limits Limits, interference *Interference) *Planner {
 	p := &Planner{
 		limits:  limits,
-		filters: []Filter{usableFilter{}, roomFilter{}, reservedFilter{}, selectorFilter{}},
-		scorers: []weighted{
+		filters: []Filter{usableFilter{}, capacityFilter{}, reservedFilter{}, selectorFilter{}},
+		scorers: []weightedScorer{
 			{packingScore{}, weightPacking},
 			{acceleratorScore{}, weightAccelerator},
 			{avoidScore{}, weightAvoid},
@@ -201,7 +201,7 @@
 	}
 	if interference != nil {
 		p.filters = append(p.filters, interferenceFilter{interference})
-		p.scorers = append(p.scorers, weighted{interferenceScore{interference}, weightInterference})
+		p.scorers = append(p.scorers, weightedScorer{interferenceScore{interference}, weightInterference})
 	}
 	return p
 }
--- a/scheduler/score_interference.go
+++ b/scheduler/score_interference.go
@@ -10,5 +10,5 @@
 	if len(w.Services) == 0 {
 		return 1
 	}
-	return 1 / s.model.with(w, t.Kind)
+	return 1 / s.model.predictWith(w, t.Kind)
 }
--- a/scheduler/shares.go
+++ b/scheduler/shares.go
@@ -41,7 +41,7 @@
 	inUse     fleet.Resources
 	elsewhere fleet.Resources
 	// pastUse is the decayed mean of the dominant share, children included.
-	past float64
+	pastUse float64
 	// subtree is the current use, children included, updated on each change.
 	subtree fleet.Resources
 }
@@ -65,7 +65,7 @@
 	for _, spec := range specs {
 		g := &groupShare{spec: spec}
 		if o := old[spec.Name]; o != nil {
-			g.inUse, g.elsewhere, g.past = o.inUse, o.elsewhere, o.past
+			g.inUse, g.elsewhere, g.pastUse = o.inUse, o.elsewhere, o.pastUse
 		}
 		s.groups[spec.Name] = g
 	}
@@ -103,7 +103,7 @@
 
 // AddUse adds r, which may be negative, to the resources that a group holds in
 // this cell.
-func (s *Shares) Hold(group string, r fleet.Resources) {
+func (s *Shares) AddUse(group string, r fleet.Resources) {
 	g := s.groups[group]
 	if g == nil {
 		g = &groupShare{spec: GroupSpec{Name: group, Share: 1}}
@@ -142,7 +142,7 @@
 	s.updated = now
 	keep := math.Exp2(-float64(passed) / float64(s.halfLife))
 	for _, g := range s.groups {
-		g.past = keep*g.past + (1-keep)*s.dominant(g.subtree)
+		g.pastUse = keep*g.pastUse + (1-keep)*s.dominant(g.subtree)
 	}
 }
 
@@ -163,12 +163,12 @@
 
 // sortKey is the sum of current and past use divided by the share. Among siblings,
 // the group with the smallest key comes first.
-func (s *Shares) order(g *groupShare) float64 {
+func (s *Shares) sortKey(g *groupShare) float64 {
 	weight := g.spec.Share
 	if weight <= 0 {
 		weight = 1
 	}
-	return (s.dominant(g.subtree) + g.past) / weight
+	return (s.dominant(g.subtree) + g.pastUse) / weight
 }
 
 // Above reports whether group a holds clearly more in proportion to its share
@@ -177,7 +177,7 @@
 	pathA, pathB := s.path(a), s.path(b)
 	for i := range min(len(pathA), len(pathB)) {
 		if pathA[i] != pathB[i] {
-			return s.held(pathA[i]) > aboveFactor*s.held(pathB[i])
+			return s.weightedUse(pathA[i]) > aboveFactor*s.weightedUse(pathB[i])
 		}
 	}
 	return false
@@ -187,7 +187,7 @@
 const aboveFactor = 1.1
 
 // weightedUse is a group's current use divided by its share.
-func (s *Shares) held(g *groupShare) float64 {
+func (s *Shares) weightedUse(g *groupShare) float64 {
 	return s.dominant(g.subtree) / max(g.spec.Share, minShare)
 }
 
@@ -217,7 +217,7 @@
 
 // ExceedsQuota reports whether r alone is more than the quota of the group or of
 // one of its parents.
-func (s *Shares) Exceeds(group string, r fleet.Resources) bool {
+func (s *Shares) ExceedsQuota(group string, r fleet.Resources) bool {
 	for g := s.groups[group]; g != nil && g != s.root; g = g.parent {
 		if !withinQuota(r, g.spec.Quota) {
 			return true
@@ -276,7 +276,7 @@
 }
 
 func (p *picker) ownFirst(g, child *groupShare) bool {
-	return p.shares.dominant(g.inUse.Add(g.elsewhere)) <= p.shares.order(child)
+	return p.shares.dominant(g.inUse.Add(g.elsewhere)) <= p.shares.sortKey(child)
 }
 
 func (p *picker) bestChild(g *groupShare) *groupShare {
@@ -290,7 +290,7 @@
 }
 
 func (p *picker) less(a, b *groupShare) bool {
-	oa, ob := p.shares.order(a), p.shares.order(b)
+	oa, ob := p.shares.sortKey(a), p.shares.sortKey(b)
 	if oa != ob {
 		return oa < ob
 	}
--- a/scheduler/steps_test.go
+++ b/scheduler/steps_test.go
@@ -33,9 +33,9 @@
 	}{
 		{"usable", usableFilter{}, Task{}, worker(none), true},
 		{"not usable", usableFilter{}, Task{}, worker(func(w *Worker) { w.Usable = false }), false},
-		{"room", roomFilter{}, Task{Ask: cores(4)}, worker(none), true},
-		{"no room", roomFilter{}, Task{Ask: cores(5)}, worker(none), false},
-		{"no accelerator", roomFilter{}, Task{Ask: fleet.Resources{Accelerators: 1}}, worker(none), false},
+		{"room", capacityFilter{}, Task{Ask: cores(4)}, worker(none), true},
+		{"no room", capacityFilter{}, Task{Ask: cores(5)}, worker(none), false},
+		{"no accelerator", capacityFilter{}, Task{Ask: fleet.Resources{Accelerators: 1}}, worker(none), false},
 		{"reserved for another", reservedFilter{}, Task{ID: "a"}, worker(func(w *Worker) { w.reservedFor = "b" }), false},
 		{"reserved for it", reservedFilter{}, Task{ID: "b"}, worker(func(w *Worker) { w.reservedFor = "b" }), true},
 		{"urgent passes a reservation", reservedFilter{}, Task{ID: "a", Urgent: true}, worker(func(w *Worker) { w.reservedFor = "b" }), true},
@@ -47,7 +47,7 @@
 		{"urgent beside a service", interferenceFilter{noisy}, Task{Kind: "noisy", Urgent: true}, worker(service), true},
 		{"barred kind", interferenceFilter{noisy}, Task{Kind: "quiet"}, worker(func(w *Worker) {
 			service(w)
-			w.Barred = map[string]bool{"quiet": true}
+			w.ExcludedKinds = map[string]bool{"quiet": true}
 		}), false},
 	} {
 		if got := c.filter.Passes(&c.task, c.worker); got != c.passes {
--- a/shard/core.go
+++ b/shard/core.go
@@ -117,16 +117,16 @@
 	lease      int64
 	leaseUntil time.Duration
 
-	term    uint64
-	termMod int64
+	term         uint64
+	termRevision int64
 	// acquireTxn is the acquisition to try next, built from the keys just read.
-	acquire *kv.Txn
+	acquireTxn *kv.Txn
 
 	// generation counts snapshots; seq numbers the journal values within a
 	// generation.
-	gen          uint64
+	generation   uint64
 	seq          uint64
-	headMod      int64
+	headRevision int64
 	journalBytes int
 
 	// proposed is the number of records proposed in this term, committed the
@@ -155,10 +155,10 @@
 
 // snapshot is a snapshot being written part by part, with the head last.
 type snapshot struct {
-	parts [][]byte
-	next  int
-	upTo  uint64
-	gen   uint64
+	parts      [][]byte
+	next       int
+	upTo       uint64
+	generation uint64
 }
 
 // New returns a Core that doesn't own its shard yet.
@@ -187,11 +187,11 @@
 	return fmt.Sprintf("%slog/%016x/", c.prefix(), gen)
 }
 
-func (c *Core) snapPrefix(gen uint64) string {
+func (c *Core) snapshotPrefix(gen uint64) string {
 	return fmt.Sprintf("%ssnap/%016x/", c.prefix(), gen)
 }
 
-func (c *Core) logKey() string { return fmt.Sprintf("%s%016x", c.logPrefix(c.gen), c.seq) }
+func (c *Core) logKey() string { return fmt.Sprintf("%s%016x", c.logPrefix(c.generation), c.seq) }
 
 // Phase returns the current phase.
 func (c *Core) Phase() Phase { return c.phase }
@@ -230,7 +230,7 @@
 // and ownership with it.
 func (c *Core) SetLease(id int64, until time.Duration) {
 	if id != c.lease && c.phase != Idle {
-		c.lose()
+		c.loseOwnership()
 	}
 	c.lease, c.leaseUntil = id, until
 }
@@ -244,7 +244,7 @@
 	return c.proposed
 }
 
-func (c *Core) lose() {
+func (c *Core) loseOwnership() {
 	c.phase = Idle
 	c.queue, c.chunk, c.snapshot = nil, nil, nil
 	c.pendingOp = 0
@@ -261,7 +261,7 @@
 	case Acquiring:
 		return c.tickAcquiring()
 	case Loading:
-		return c.op(opLoad, Op{Prefix: c.prefix()})
+		return c.issue(opLoad, Op{Prefix: c.prefix()})
 	default:
 		return c.tickOwning(now)
 	}
@@ -272,16 +272,16 @@
 		return nil
 	}
 	c.phase = Acquiring
-	c.acquire = nil
+	c.acquireTxn = nil
 	return c.tickAcquiring()
 }
 
 func (c *Core) tickAcquiring() []Op {
-	if txn := c.acquire; txn != nil {
-		c.acquire = nil
-		return c.op(opAcquire, Op{Txn: txn})
+	if txn := c.acquireTxn; txn != nil {
+		c.acquireTxn = nil
+		return c.issue(opAcquire, Op{Txn: txn})
 	}
-	return c.op(opReadMeta, Op{Txn: c.readMeta()})
+	return c.issue(opReadMeta, Op{Txn: c.readMeta()})
 }
 
 func (c *Core) readMeta() *kv.Txn {
@@ -290,7 +290,7 @@
 
 func (c *Core) tickOwning(now time.Duration) []Op {
 	if c.chunk != nil {
-		return c.op(opCommit, Op{Txn: &c.chunk.txn})
+		return c.issue(opCommit, Op{Txn: &c.chunk.txn})
 	}
 	if c.snapshot != nil {
 		return c.snapshotOp()
@@ -299,7 +299,7 @@
 		c.phase = Releasing
 	}
 	if len(c.queue) == 0 && c.phase == Releasing {
-		return c.op(opRelease, Op{Txn: c.releaseTxn()})
+		return c.issue(opRelease, Op{Txn: c.releaseTxn()})
 	}
 	if c.journalBytes >= c.params.SnapshotBytes {
 		return c.beginSnapshot()
@@ -310,7 +310,7 @@
 	return c.beginCommit(now)
 }
 
-func (c *Core) op(kind opKind, op Op) []Op {
+func (c *Core) issue(kind opKind, op Op) []Op {
 	c.nextOp++
 	op.ID = c.nextOp
 	c.pendingOp, c.pendingKind = op.ID, kind
@@ -332,19 +332,19 @@
 		upTo:     c.proposed - uint64(len(c.queue)),
 		byteSize: len(value),
 		txn: kv.Txn{
-			If:   []kv.Compare{c.termIsOurs(), {Key: key, Missing: true}},
+			If:   []kv.Compare{c.termUnchanged(), {Key: key, Missing: true}},
 			Then: []kv.Op{kv.Put(key, value, 0)},
 			Else: []kv.Op{kv.Get(c.termKey()), kv.Get(key)},
 		},
 	}
-	return c.op(opCommit, Op{Txn: &c.chunk.txn})
+	return c.issue(opCommit, Op{Txn: &c.chunk.txn})
 }
 
-func (c *Core) termIsOurs() kv.Compare {
+func (c *Core) termUnchanged() kv.Compare {
 	if c.params.NoTermCheck {
 		return kv.Compare{Key: c.prefix() + "never-written", Missing: true}
 	}
-	return kv.Compare{Key: c.termKey(), ModRevision: c.termMod}
+	return kv.Compare{Key: c.termKey(), ModRevision: c.termRevision}
 }
 
 // beginSnapshot starts writing the whole state, including the records still in
@@ -352,10 +352,10 @@
 func (c *Core) beginSnapshot() []Op {
 	parts, err := c.machine.Snapshot(c.params.MaxValueBytes)
 	if err != nil {
-		c.lose()
+		c.loseOwnership()
 		return nil
 	}
-	c.snapshot = &snapshot{parts: parts, upTo: c.proposed, gen: c.gen + 1}
+	c.snapshot = &snapshot{parts: parts, upTo: c.proposed, generation: c.generation + 1}
 	c.queue = nil
 	return c.snapshotOp()
 }
@@ -363,37 +363,37 @@
 func (c *Core) snapshotOp() []Op {
 	s := c.snapshot
 	if s.next < len(s.parts) {
-		key := fmt.Sprintf("%s%08x", c.snapPrefix(s.gen), s.next)
-		return c.op(opSnapshotPart, Op{Txn: &kv.Txn{
-			If:   []kv.Compare{c.termIsOurs()},
+		key := fmt.Sprintf("%s%08x", c.snapshotPrefix(s.generation), s.next)
+		return c.issue(opSnapshotPart, Op{Txn: &kv.Txn{
+			If:   []kv.Compare{c.termUnchanged()},
 			Then: []kv.Op{kv.Put(key, s.parts[s.next], 0)},
 			Else: []kv.Op{kv.Get(c.termKey())},
 		}})
 	}
-	head := &journalv1.SnapshotHead{Generation: s.gen, Parts: uint32(len(s.parts))}
-	return c.op(opSnapshotHead, Op{Txn: &kv.Txn{
+	head := &journalv1.SnapshotHead{Generation: s.generation, Parts: uint32(len(s.parts))}
+	return c.issue(opSnapshotHead, Op{Txn: &kv.Txn{
 		// Comparing the head's revision prevents a late duplicate of this write
 		// from undoing a newer snapshot.
-		If: []kv.Compare{c.termIsOurs(), c.headIsKnown()},
+		If: []kv.Compare{c.termUnchanged(), c.headUnchanged()},
 		Then: []kv.Op{
 			kv.Put(c.headKey(), mustMarshal(head), 0),
-			kv.DeletePrefix(c.logPrefix(s.gen - 1)),
-			kv.DeletePrefix(c.snapPrefix(s.gen - 1)),
+			kv.DeletePrefix(c.logPrefix(s.generation - 1)),
+			kv.DeletePrefix(c.snapshotPrefix(s.generation - 1)),
 		},
 		Else: []kv.Op{kv.Get(c.termKey()), kv.Get(c.headKey())},
 	}})
 }
 
-func (c *Core) headIsKnown() kv.Compare {
-	if c.headMod == 0 {
+func (c *Core) headUnchanged() kv.Compare {
+	if c.headRevision == 0 {
 		return kv.Compare{Key: c.headKey(), Missing: true}
 	}
-	return kv.Compare{Key: c.headKey(), ModRevision: c.headMod}
+	return kv.Compare{Key: c.headKey(), ModRevision: c.headRevision}
 }
 
 func (c *Core) releaseTxn() *kv.Txn {
 	return &kv.Txn{
-		If:   []kv.Compare{c.termIsOurs()},
+		If:   []kv.Compare{c.termUnchanged()},
 		Then: []kv.Op{kv.Delete(OwnerKey(c.params.Name))},
 	}
 }
@@ -421,7 +421,7 @@
 	case opAcquire:
 		c.answerAcquire(a.Txn)
 	case opLoad:
-		return c.load(a.Pairs)
+		return c.loadState(a.Pairs)
 	case opCommit:
 		c.answerCommit(a.Txn)
 	case opSnapshotPart:
@@ -429,7 +429,7 @@
 	case opSnapshotHead:
 		c.answerSnapshotHead(a.Txn)
 	case opRelease:
-		c.lose()
+		c.loseOwnership()
 	}
 	return nil
 }
@@ -446,7 +446,7 @@
 	if term != nil {
 		unchanged = kv.Compare{Key: c.termKey(), ModRevision: term.ModRevision}
 	}
-	c.acquire = &kv.Txn{
+	c.acquireTxn = &kv.Txn{
 		If: []kv.Compare{{Key: OwnerKey(c.params.Name), Missing: true}, unchanged},
 		Then: []kv.Op{
 			kv.Put(OwnerKey(c.params.Name), []byte(c.params.Self), c.lease),
@@ -460,7 +460,7 @@
 // own lease can only come from an acquisition whose answer was lost.
 func (c *Core) answerOwned(now time.Duration, owner, term *kv.Pair) {
 	if owner.Lease == c.lease && term != nil {
-		c.acquired(term)
+		c.beginLoading(term)
 		return
 	}
 	c.phase = Idle
@@ -472,15 +472,15 @@
 		c.phase = Idle
 		return
 	}
-	c.acquired(first(res.Reads[0]))
+	c.beginLoading(first(res.Reads[0]))
 }
 
 // answerCommit handles a journal write. If the key exists already and the term
 // is unchanged, then an earlier attempt of the same write took effect: only the
 // term's owner writes, and it uses each key for one chunk.
 func (c *Core) answerCommit(res kv.TxnResult) {
-	if !res.Succeeded && !c.stillOurs(res) {
-		c.lose()
+	if !res.Succeeded && !c.stillOwner(res) {
+		c.loseOwnership()
 		return
 	}
 	c.committed = c.chunk.upTo
@@ -489,14 +489,14 @@
 	c.chunk = nil
 }
 
-func (c *Core) stillOurs(res kv.TxnResult) bool {
+func (c *Core) stillOwner(res kv.TxnResult) bool {
 	term := first(res.Reads[0])
-	return term != nil && term.ModRevision == c.termMod
+	return term != nil && term.ModRevision == c.termRevision
 }
 
 func (c *Core) answerSnapshotPart(res kv.TxnResult) {
 	if !res.Succeeded {
-		c.lose()
+		c.loseOwnership()
 		return
 	}
 	c.snapshot.next++
@@ -505,14 +505,14 @@
 func (c *Core) answerSnapshotHead(res kv.TxnResult) {
 	headRevision := res.Revision
 	if !res.Succeeded {
-		if !c.stillOurs(res) {
-			c.lose()
+		if !c.stillOwner(res) {
+			c.loseOwnership()
 			return
 		}
 		headRevision = first(res.Reads[1]).ModRevision
 	}
-	c.headMod = headRevision
-	c.gen = c.snapshot.gen
+	c.headRevision = headRevision
+	c.generation = c.snapshot.generation
 	c.seq, c.journalBytes = 0, 0
 	c.committed = c.snapshot.upTo
 	c.snapshot = nil
--- a/shard/recover.go
+++ b/shard/recover.go
@@ -12,21 +12,21 @@
 )
 
 // beginLoading enters the loading phase for the term just acquired.
-func (c *Core) acquired(term *kv.Pair) {
+func (c *Core) beginLoading(term *kv.Pair) {
 	c.phase = Loading
 	c.term = decodeTerm(term).GetTerm()
-	c.termMod = term.ModRevision
+	c.termRevision = term.ModRevision
 	c.machine.Reset()
 }
 
 // loadState rebuilds the machine from the shard's keys: snapshot, then journal.
-func (c *Core) load(pairs []kv.Pair) error {
+func (c *Core) loadState(pairs []kv.Pair) error {
 	byKey := make(map[string]kv.Pair, len(pairs))
 	for _, p := range pairs {
 		byKey[p.Key] = p
 	}
-	if byKey[c.termKey()].ModRevision != c.termMod {
-		c.lose()
+	if byKey[c.termKey()].ModRevision != c.termRevision {
+		c.loseOwnership()
 		return nil
 	}
 	c.machine.Reset()
@@ -35,7 +35,7 @@
 		err = c.replay(pairs)
 	}
 	if err != nil {
-		c.lose()
+		c.loseOwnership()
 		return errors.Annotatef(err, "shard %s", c.params.Name)
 	}
 	c.phase = Owning
@@ -46,15 +46,15 @@
 
 func (c *Core) restore(byKey map[string]kv.Pair) error {
 	head := &journalv1.SnapshotHead{}
-	c.gen, c.headMod = 0, 0
+	c.generation, c.headRevision = 0, 0
 	if p, ok := byKey[c.headKey()]; ok {
 		if err := proto.Unmarshal(p.Value, head); err != nil {
 			return errors.Annotate(err, p.Key)
 		}
-		c.gen, c.headMod = head.GetGeneration(), p.ModRevision
+		c.generation, c.headRevision = head.GetGeneration(), p.ModRevision
 	}
 	for i := range head.GetParts() {
-		key := fmt.Sprintf("%s%08x", c.snapPrefix(c.gen), i)
+		key := fmt.Sprintf("%s%08x", c.snapshotPrefix(c.generation), i)
 		p, ok := byKey[key]
 		if !ok {
 			return errors.NotFoundf("snapshot part %s", key)
@@ -68,7 +68,7 @@
 
 func (c *Core) replay(pairs []kv.Pair) error {
 	c.seq, c.journalBytes = 0, 0
-	prefix := c.logPrefix(c.gen)
+	prefix := c.logPrefix(c.generation)
 	for _, p := range pairs {
 		if !strings.HasPrefix(p.Key, prefix) {
 			continue
