--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -29,15 +29,15 @@
 	Restore time.Duration
 	// PaceAfter is the age from which the CPU share of a run can be limited.
 	PaceAfter time.Duration
-	// OwnerTTL is the owner's lease at the store. An owner that does not reach the
+	// OwnerTTL is the length of the owner's lease at the store. An owner that does not reach the
 	// store gives orders until OwnerHorizon after its last renewal.
 	OwnerTTL, OwnerHorizon time.Duration
 	// Maintenance is how long a VM is down for maintenance.
 	Maintenance time.Duration
-	// MaxWorkerListAge is how old the list of workers may be at starts in a service whose
-	// workers do not check their capacity, which may have shrunk since. 0 means no limit.
+	// MaxWorkerListAge is how old the list of workers may be when a task starts in a service
+	// whose workers do not check their capacity: it may have shrunk since. 0 means no limit.
 	MaxWorkerListAge time.Duration
-	// HolderGap is the least time between VM orders of two owners.
+	// HolderGap is the least time between the maintenance orders of two successive owners.
 	HolderGap time.Duration
 	// RecoveryWait is how long after a takeover orders of the previous owner
 	// may still be in force at a worker that does not answer.
@@ -51,13 +51,13 @@
 	DefaultTaskLease = 5 * time.Second
 )
 
-// Core holds the jobs and workers of a cell and decides where tasks run. It does no
-// I/O and takes no locks; the caller serializes all calls.
+// Core holds the jobs and workers of a cell and decides where tasks run, for the owner of
+// the cell in one term. It does no I/O and takes no locks; the caller serializes all calls.
 type Core struct {
 	params Params
 	term   uint64
-	// nextRun counts starts. With the term in the upper bits, run numbers rise
-	// across changes of the owner without a stored record of each start.
+	// runsNumbered counts the run numbers given in this term. With the term in the upper
+	// bits, run numbers rise across changes of the owner without a stored record of each start.
 	nextRun uint64
 	// validUntil is when the right to give orders ends, leaseHeldUntil the time from
 	// which another owner may exist; see Renewed.
@@ -77,9 +77,10 @@
 	listedAt  time.Duration
 	jobs      map[string]*jobState
 	workers   map[WorkerID]*worker
-	// incarnations holds the workers by VM, where the VM is known.
+	// workersByVM holds the known incarnations on each VM, where the VM is known.
 	incarnations map[string][]*worker
-	// order holds all workers, members those of each service, by id.
+	// sortedWorkers holds all workers, workersByService and workersByRack those of each
+	// service and rack, all sorted by id.
 	order   []*worker
 	members map[string][]*worker
 	racks   map[string][]*worker
@@ -92,25 +93,24 @@
 	incarnationsByName map[string]*sameIDIncarnations
 	// ended holds incarnations that have ended and may still be listed.
 	ended map[WorkerID]bool
-	// unresolved are workers of the previous owner that have not answered
-	// yet: a task in phaseUnknown may run there. openUnresolved counts those
-	// where any task may run.
+	// unresolved holds the workers of the previous owner that have not answered yet: a
+	// task in phaseUnknown may run there. openUnresolved counts those where any task may run.
 	unresolved     map[WorkerID]unresolvedWorker
 	openUnresolved int
-	// lostUnread holds the tasks of workers that were lost before this owner read their
-	// lists.
+	// lostUnread holds the tasks of workers that were lost before this owner, or one before
+	// it, read their lists.
 	lostUnread unreadTasks
-	// lostInTerm holds the tasks of workers that were lost in this term.
+	// unreadInTerm is the part of lostUnread from workers that were lost in this term.
 	lostInTerm unreadTasks
 	// possibleCrashTasks counts the tasks with possible crashes.
 	possibleCrashTasks int
-	// unsentStarts wait for the store. recordedStarts, by worker, are starts of previous
-	// owners whose fate is not known yet.
+	// unsentStarts holds the starts that wait for the store, recordedStarts, by worker, those
+	// of previous owners whose outcome is not known yet.
 	unsentStarts   []unsentStart
 	recordedStarts map[WorkerID][]recordedStart
 	// unreadStale is set while the store's record of lostUnread is out of date.
 	unreadStale bool
-	// unknown is set while tasks in phaseUnknown wait for settleUnknown.
+	// unknownPending is set while tasks in phaseUnknown wait for settleUnknown.
 	unknown bool
 	roster  roster
 	// evacuated holds the data centres whose workers get no new tasks.
@@ -130,26 +130,28 @@
 	// cancellation was received.
 	cancelled map[string]time.Duration
 	held      map[string]bool // jobs whose tasks are not touched; see HoldJob
-	// lostIncarnations holds incarnations that may have crashed, crashed the newest crash
-	// of VMs that crashed recently, both by VM. suspects counts the tasks with crashes.
+	// lostIncarnations holds incarnations that may have crashed, crashed the newest crash of a
+	// worker if that was recent, both by VM. suspects counts the tasks with known or
+	// unconfirmed crashes.
 	lostIncarnations map[string]lostIncarnation
 	crashed          map[string]crashRecord
 	suspects         int
-	// fellSilent is, by VM, when its newest incarnation with tasks fell silent, if that
+	// fellSilent holds, by VM, when the newest incarnation with tasks fell silent, if that
 	// incarnation ended recently.
 	fellSilent map[string]time.Duration
-	// comparisons are crashes that are not yet distinguished from others.
+	// comparisons holds the crashes that are still to be compared with others near them.
 	comparisons []crashComparison
-	// nearNow is a buffer that is reused within a pass.
+	// crashesNearNow caches the crashes shortly before the time of the current pass.
 	nearNow nearbyCrashes
 	// nextTrial is when the next trial run of a suspect task may be started.
 	nextTrial time.Duration
-	// dirty holds the jobs whose progress is not stored, with their turn to be written.
+	// dirty holds the jobs whose progress is not stored, with their places in the queue to
+	// write it; lastQueued is the last place given.
 	dirty             map[*jobState]uint64
 	waves             map[int64]*waveState
 	maintenanceOrders []MaintenanceOrder // not taken yet
 	turn              uint64
-	out               []Order
+	out               []Order // not taken yet
 	trace             func(Decision)
 	model             *interference
 	demand            fillDemand
@@ -162,7 +164,7 @@
 type Stats struct {
 	Starts, Done, Failed, Stopped, Lapsed, Lost, Refused, Unanswered, Moved, Paced uint64
 	// GivenUp counts runs that a worker lists though this owner, which ordered
-	// them, had concluded that they do not run: each may have run beside another.
+	// them, had given them up: each may have run at the same time as its replacement.
 	GivenUp uint64
 	// Crashes counts workers that crashed with tasks, CrashersGivenUp the jobs that
 	// failed because a task of theirs crashed its workers.
@@ -171,14 +173,15 @@
 	Restarts uint64
 }
 
-// work counts the core's checks of workers, which must not grow faster than the fleet.
+// checkCounts counts the core's checks of workers. These counts must not grow faster than the
+// number of workers.
 type work struct {
-	// reachChecks, slowChecks and endChecks are checks of workers for which others
-	// answer, which are slow, and whose ends are stored.
+	// reachChecks counts checks whether the owner reaches a worker, slowChecks those
+	// whether it is slow, endChecks those whether its ends are stored.
 	reachChecks, slowChecks, endChecks uint64
 }
 
-// Decision is one decision or change of the core's view, for the log.
+// Decision is one decision of the core, or one change in what it knows, for the log.
 type Decision struct {
 	Event  string
 	Job    string
@@ -193,7 +196,7 @@
 }
 
 // Routine reports whether a decision is expected and one of many: a start, an
-// end, a change of pace. Refusals, failures and changes of the core's view are not.
+// end, a change of pace. Refusals, failures and changes in what the core knows are not.
 func (d Decision) Routine() bool {
 	switch d.Event {
 	case eventPlaced, eventStarted, eventDone, eventSlowed:
@@ -257,8 +260,8 @@
 	c.leaseHeldUntil = max(c.leaseHeldUntil, sent+c.params.OwnerTTL-leaseMargin)
 }
 
-// leaseMargin is the part of the owner's lease that is not used, since two clocks
-// differ in rate.
+// leaseMargin is the part of the owner's lease that is not used, since the clocks of the
+// owner and of the store differ in rate.
 const leaseMargin = 100 * time.Millisecond
 
 // holdsLease reports whether no other owner can have taken over yet.
@@ -285,8 +288,8 @@
 	return out
 }
 
-// Tick does the work that is due by time: it gives up silent workers, repeats
-// unanswered calls, forgets old jobs and schedules.
+// Tick does the work that is due by time: it gives up runs at silent workers, repeats
+// stops without effect, drops old jobs and schedules.
 func (c *Core) Tick(now Instant) {
 	c.addDeferred(now)
 	c.expireUnresolved(now)
@@ -318,8 +321,7 @@
 	return d
 }
 
-// logGivenUp logs the conclusion that an attempt does not run, with the values
-// behind it.
+// logGivenUp logs that an attempt is given up as not running, with the values that show it.
 func (c *Core) logGivenUp(event string, a *attempt, reason, detail string, age time.Duration) {
 	d := taskDecision(event, a.task, a.worker, a.run, reason)
 	d.Detail, d.Age = detail, age
--- a/dispatch/crash.go
+++ b/dispatch/crash.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Limits for telling a worker's crash from other ends.
+// Limits for distinguishing a worker's crash from other ends of its process.
 const (
 	// brokenConnWindow is the time from the first unanswered call within which a refused or
 	// broken connection means that the worker's process ended then. A worker that is cut off
@@ -14,8 +14,8 @@
 	// rackLossWindow is the time within which workers of one rack fall silent if the rack
 	// is lost.
 	rackLossWindow = time.Second
-	// startCrashWindow is the time after its start in which a run may crash its worker by
-	// that start. A run that works longer at a worker that answers did not.
+	// startCrashWindow is the time after a run's start in which that start may crash the
+	// worker. A run that works longer at a worker that answers has not crashed it.
 	startCrashWindow = 5 * time.Second
 )
 
@@ -27,8 +27,10 @@
 	broken bool
 }
 
+// recordAnswer records that the worker has answered a call.
 func (w *worker) recordAnswer(now Instant) { w.lastContact, w.loss = now.Steady, contactLoss{} }
 
+// recordNoAnswer records that a call to the worker was not answered.
 func (w *worker) recordNoAnswer(outcome Outcome, now Instant) {
 	if w.loss.since == 0 {
 		w.loss.since = now.Steady
@@ -46,12 +48,13 @@
 	endCrashed incarnationEnd = iota
 	endDrained
 	endMaintenance
-	// endSilent: it was cut off before it ended, or lost power.
+	// endSilent: the worker was cut off before it ended, or lost power.
 	endSilent
+	// endRackLost: most of the VMs in the worker's rack fell silent with it.
 	endRackLost
 )
 
-// String returns the name, as logged.
+// String returns the name of the end, as logged.
 func (e incarnationEnd) String() string {
 	return [...]string{"crashed", "drained", "upkeep", "was silent before", "lost with its rack"}[e]
 }
@@ -74,8 +77,8 @@
 	}
 }
 
-// rackLost reports whether most VMs of the worker's rack, and two at least, fell
-// silent when it did.
+// rackLost reports whether most VMs of the worker's rack, and two at least, fell silent
+// when the worker did.
 func (c *Core) rackLost(w *worker) bool {
 	if w.info.Rack == "" || w.loss.since == 0 {
 		return false
--- a/dispatch/crashrate.go
+++ b/dispatch/crashrate.go
@@ -6,28 +6,31 @@
 	"time"
 )
 
-// Limits for telling crashes of workers apart. A crash is isolated if no other VM's worker
+// Limits for comparing crashes of workers with each other. A crash is isolated if no other VM's worker
 // crashed at about the same time; the crash rate is low if few others crashed before it.
 const (
 	// simultaneousWindow is the time between detections of crashes that may have one cause
 	// outside the workers: a broken poll is detected at once, the next one up to 0.2 s later.
 	simultaneousWindow = 300 * time.Millisecond
-	// detectionDelay after a crash, all others at about the same time have been detected.
+	// detectionDelay is the time after a crash by which all others at about the same time
+	// have been detected.
 	detectionDelay = time.Second
 	// crashRateWindow is the time before a crash in which crashes of other workers count
-	// towards the crash rate. If that is low, a recently started run was not there by chance.
+	// towards the crash rate. If the rate is low, it is no coincidence that a task's run had
+	// recently started at a worker that crashed.
 	crashRateWindow = startCrashWindow
 	// lowCrashShare is the share of the VMs that may crash within crashRateWindow for the
 	// crash rate to be low.
 	lowCrashShare = 0.05
-	// lowCrashRateWait is how long the last start of a task waits for a low crash rate.
+	// lowCrashRateWait is how long a start after which one more crash ends the job (see
+	// isLastStart) waits for a low crash rate.
 	lowCrashRateWait = 10 * time.Second
 )
 
 // crashRecord is a counted crash of a VM's worker.
 type crashRecord struct {
 	at time.Duration
-	// tasks are those with a recently started run there.
+	// tasks names the tasks with a recently started run there.
 	tasks []string
 	// explained is set if one of these tasks was given up as the cause.
 	explained bool
@@ -39,7 +42,7 @@
 	run   uint64
 	trial bool
 	vm    string
-	// at is when its worker fell silent; due is when other crashes near it have been detected.
+	// at is when the worker fell silent; due is when other crashes near it have been detected.
 	at, due time.Duration
 }
 
@@ -71,6 +74,8 @@
 	}
 }
 
+// compareCrash records whether a crash was isolated, and gives its task up if that proves that
+// the task crashes its workers.
 func (c *Core) compareCrash(x crashComparison, near nearbyCrashes, now Instant) {
 	t := x.task
 	j := t.step.job
@@ -96,6 +101,7 @@
 	others []crashRecord
 }
 
+// nearbyCrashes returns the crashes near a time, including those detected but not counted yet.
 func (c *Core) nearbyCrashes(vm string, at time.Duration) nearbyCrashes {
 	near := nearbyCrashes{vm: vm, at: at}
 	within := func(t time.Duration) bool { return at-crashRateWindow <= t && t <= at+simultaneousWindow }
@@ -127,13 +133,15 @@
 	return count
 }
 
-// isolated reports whether no other VM's worker crashed within simultaneousWindow. Otherwise
-// something else may crash workers, and the crash proves less about the task.
+// isolated reports whether no other VM's worker crashed within simultaneousWindow, except with
+// a run of the task. Otherwise something else may crash workers, and the crash proves less
+// about the task.
 func (n nearbyCrashes) isolated(t *task) bool { return n.count(t, n.at-simultaneousWindow) == 0 }
 
-// lowCrashRate reports whether at most lowCrashShare of the VMs crashed in the crashRateWindow
-// before a time without a recently started run of the task. If more did, such a run may be at one
-// by chance. If the window began before this owner's term, the rate is unknown and not low.
+// lowCrashRate reports whether the workers of at most lowCrashShare of the VMs crashed in the
+// crashRateWindow before a time, apart from those where a run of the task had recently started.
+// If more did, a run of the task may have been at a crashing worker by chance. If the window
+// began before this owner's term, the rate is unknown and does not count as low.
 func (c *Core) lowCrashRate(t *task, near nearbyCrashes) bool {
 	known := near.at-crashRateWindow >= c.leaseHeldSince
 	return known && float64(near.count(t, near.at-crashRateWindow)) <= lowCrashShare*float64(len(c.incarnations))
--- a/dispatch/incarnations.go
+++ b/dispatch/incarnations.go
@@ -58,7 +58,7 @@
 // further incarnations under one worker's id. The next term is at least this much higher.
 const TokensPerTerm = 256
 
-// sameIDIncarnations are the incarnations under one worker's id.
+// sameIDIncarnations holds the incarnations under one worker's id.
 type sameIDIncarnations struct {
 	incarnations []*worker // those that the owner has a record of
 	// newest is the one that was found last, generation how often that has changed.
@@ -72,12 +72,12 @@
 func (c *Core) tokenOf(w *worker) uint64 {
 	n := c.incarnationsByName[w.info.ID.Name()]
 	if n == nil {
-		return c.term // it was dropped meanwhile
+		return c.term // the worker was dropped meanwhile
 	}
 	return c.term + min(n.generation, TokensPerTerm-1)
 }
 
-// addToName adds an incarnation to those under its worker's id.
+// addIncarnation adds an incarnation to those under its worker's id.
 func (c *Core) addToName(w *worker) {
 	id := w.info.ID
 	n := c.incarnationsByName[id.Name()]
@@ -97,7 +97,7 @@
 	n.incarnations = append(n.incarnations, w)
 }
 
-// removeFromName is the opposite of addToName. The token stays unchanged.
+// removeIncarnation is the opposite of addIncarnation. The fencing token stays unchanged.
 func (c *Core) removeFromName(w *worker) {
 	name := w.info.ID.Name()
 	n := c.incarnationsByName[name]
@@ -157,7 +157,7 @@
 	info := w.info
 	info.ID, info.Draining, info.Leaving = id, false, 0
 	c.addWorker(info, now)
-	c.roster.ensure(info) // what the previous incarnation's entry lists may run here
+	c.roster.ensure(info) // the tasks in the previous incarnation's entry may run here
 }
 
 // transferRuns transfers the runs that the next incarnation under a worker's id may carry out,
@@ -194,8 +194,8 @@
 }
 
 // excludeForAcknowledgement keeps new tasks off an incarnation that may have received an
-// acknowledgement meant for the previous one. It may forget as many of its own ends before they
-// are read, and nothing would show whether a run that it no longer lists is done.
+// acknowledgement meant for the previous one. It may then forget as many of its own ends before
+// they are read, and nothing would show whether a run that it no longer lists is done.
 func (c *Core) excludeForAcknowledgement(w, next *worker) {
 	if w.unansweredAck == 0 || next.endsUncertain {
 		return
@@ -209,14 +209,15 @@
 
 // mayHaveRestarted reports whether a worker may have restarted under its id since it answered
 // while another owner may be active. The next incarnation has no record of terms: it would
-// carry out a start of this owner although the other owner has read the previous incarnation.
+// carry out a start of this owner although the other owner has read the previous incarnation's
+// lists.
 // An answer may be read long after it was given, so the time when its poll was sent counts.
 func (c *Core) mayHaveRestarted(w *worker, now Instant) bool {
 	return !c.holdsLease(now) && w.info.ID.Born() != 0 && now.Steady-w.answeredPollSent > incarnationFresh
 }
 
-// moveTo moves an attempt to the next incarnation. The lists that are read under that one's
-// own terms show whether it runs there.
+// moveTo moves an attempt to the next incarnation. It is unconfirmed there: only that
+// incarnation's own lists show whether it runs there.
 func (a *attempt) moveTo(next *worker) {
 	w, s := a.worker, a.task.step
 	w.remove(a)
--- a/dispatch/lists.go
+++ b/dispatch/lists.go
@@ -8,7 +8,7 @@
 	"leverstile.dev/job"
 )
 
-// Limits of workers' lists.
+// Limits of the lists of runs and ends with which workers answer polls.
 const (
 	// maxEndsListed is the most ends in one answer.
 	maxEndsListed = 500
@@ -46,21 +46,21 @@
 // compareRunning compares the worker's list of runs with the expected ones.
 func (c *Core) compareRunning(w *worker, reply PollReply, now Instant) {
 	listed := make(map[*attempt]bool, len(reply.Running))
-	seenForeign := map[job.TaskID]bool{}
+	listedUnexpected := map[job.TaskID]bool{}
 	for i := range reply.Running {
 		row := &reply.Running[i]
 		t := c.findTask(row.Task)
 		a := c.matchRow(w, t, row, now)
 		if a == nil {
 			c.stopUnexpected(w, row, now)
-			seenForeign[row.Task] = true
+			listedUnexpected[row.Task] = true
 			continue
 		}
 		listed[a] = true
 		c.confirm(a, row, reply.ClockMS, now)
 	}
 	for id := range w.unexpected {
-		if !seenForeign[id] {
+		if !listedUnexpected[id] {
 			delete(w.unexpected, id)
 			c.refusals.noteChange(w, false)
 		}
@@ -74,6 +74,7 @@
 	c.moveOffSlowWorker(w, now)
 }
 
+// findTask returns the task with this id, nil if it is unknown.
 func (c *Core) findTask(id job.TaskID) *task {
 	j := c.jobs[id.Job]
 	if j == nil || id.Occurrence >= j.spec.Times() || id.Step >= len(j.spec.Steps) {
@@ -86,8 +87,8 @@
 	return j.steps[at].tasks[id.Index]
 }
 
-// matchRow returns the attempt that a row describes. It adopts a run that the
-// previous owner started.
+// matchRow returns the attempt that a row of a worker's list describes, or nil. It adopts a
+// run that the previous owner started.
 func (c *Core) matchRow(w *worker, t *task, row *RunningTask, now Instant) *attempt {
 	if t == nil {
 		return nil
@@ -149,9 +150,9 @@
 
 // handleMissing handles an attempt that a list lacks, and whose end was not reported.
 //
-// One such list proves nothing: its clock is that of the answer, and a worker may
-// have gathered it just before it carried out the start. So it takes a second
-// list, from a poll that was sent after the first was read.
+// One such list proves nothing: its clock is that of the answer, and a worker may have
+// gathered it just before it carried out the start. So the attempt is released only after a
+// second list without it, from a poll that was sent after the first list was read.
 func (c *Core) handleMissing(a *attempt, reply PollReply, now Instant) {
 	if a.ackClock == 0 && reply.ClockMS <= a.deadline {
 		return // the start order may still arrive
@@ -204,15 +205,15 @@
 
 // stopUnexpected stops a run that the owner does not expect at a worker.
 func (c *Core) stopUnexpected(w *worker, row *RunningTask, now Instant) {
-	f := w.unexpected[row.Task]
-	if f.run != row.Run {
-		f = unexpectedRun{run: row.Run, askAt: now.Steady}
+	u := w.unexpected[row.Task]
+	if u.run != row.Run {
+		u = unexpectedRun{run: row.Run, askAt: now.Steady}
 		c.logUnexpected(w, row)
 	}
-	f.amount, f.unsized = c.sizeOf(row.Task)
-	if now.Steady >= f.askAt {
-		f.askAt = now.Steady + unexpectedStopRetry
+	u.amount, u.unsized = c.sizeOf(row.Task)
+	if now.Steady >= u.askAt {
+		u.askAt = now.Steady + unexpectedStopRetry
 		c.out = append(c.out, Order{Kind: OrderStop, Worker: w.info.ID, Address: w.info.Address, Token: c.tokenOf(w), Task: row.Task, Run: row.Run})
 	}
-	w.unexpected[row.Task] = f
+	w.unexpected[row.Task] = u
 }
--- a/dispatch/lostincarnation.go
+++ b/dispatch/lostincarnation.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Limits for lost incarnations.
+// Limits for incarnations that are lost, and may have crashed.
 const (
 	// lostIncarnationKept bounds the wait for the next incarnation on a VM whose worker was lost.
 	lostIncarnationKept = time.Minute
@@ -23,15 +23,15 @@
 	// Older is set if another run was started at least recentStartWindow later: that one
 	// is likelier to have crashed the worker.
 	Older bool `json:"older,omitempty"`
-	// Unconfirmed is set if there is no evidence that the worker had started the run.
+	// StartUnconfirmed is set if there is no evidence that the worker had started the run.
 	Unconfirmed bool `json:"unconfirmed,omitempty"`
 }
 
 // inconclusive reports whether the crash proves nothing about the run.
 func (r LostRun) inconclusive() bool { return r.Older || r.Unconfirmed }
 
-// lostIncarnation is an incarnation whose leases expired before it was known how it
-// ended. Its runs are unsettled until the VM answers again.
+// lostIncarnation is an incarnation whose leases expired before it was known whether it has
+// ended, and how. Its runs count as unconfirmed crashes of their tasks until the VM answers again.
 type lostIncarnation struct {
 	id  WorkerID
 	end incarnationEnd
@@ -39,11 +39,11 @@
 	busy bool
 	loss contactLoss
 	runs []LostRun
-	// unsettled is set while its runs count as unsettled at their tasks.
+	// counted is set while its runs count as unconfirmed crashes of their tasks.
 	unsettled bool
 	// inherited is set if it comes from the previous owner's roster or start records.
 	inherited bool
-	at        time.Duration
+	at        time.Duration // when the record was made
 }
 
 // taskNames returns the tasks of the incarnation's runs.
@@ -76,7 +76,7 @@
 	return list
 }
 
-// confirmed reports whether the worker has started the run: it answered or listed it, or the
+// startConfirmed reports whether the worker has started the run: it answered or listed it, or the
 // connection of the start's first copy was broken and no poll was answered since. A call that
 // merely was not answered may never have reached the worker.
 func (a *attempt) confirmed() bool {
@@ -113,9 +113,9 @@
 	}
 }
 
-// keepUnsettled keeps the runs of a worker that is lost without proof that its incarnation
-// has ended. Whether it crashed is known once the VM answers again. Until then its tasks
-// run elsewhere, or wait if too many of their runs are unsettled.
+// keepLostIncarnation keeps the record of a worker that is lost without proof that its
+// incarnation has ended. Whether it crashed is known once the VM answers again. Until then its
+// tasks run elsewhere, or wait if too many of their crashes are unconfirmed.
 func (c *Core) keepUnsettled(vm string, l lostIncarnation) {
 	if l.end != endCrashed || vm == "" || len(l.runs) == 0 {
 		return
@@ -126,7 +126,7 @@
 	c.addUnsettled(l, 1)
 }
 
-// dropUnsettled drops the lost incarnation of a VM and returns it.
+// dropLostIncarnation drops the lost incarnation of a VM and returns it.
 func (c *Core) dropUnsettled(vm string) (lostIncarnation, bool) {
 	l, ok := c.lostIncarnations[vm]
 	if !ok {
@@ -139,7 +139,8 @@
 	return l, true
 }
 
-// addUnsettled changes the number of unsettled runs of each task of a lost incarnation.
+// addUnconfirmedCrashes changes the number of unconfirmed crashes of each task with a run in
+// a lost incarnation.
 func (c *Core) addUnsettled(l lostIncarnation, change int) {
 	for _, r := range l.runs {
 		if t := c.suspectByName(r.Task); t != nil {
@@ -148,15 +149,16 @@
 	}
 }
 
-// settleLost settles a VM's lost incarnation once a worker answers there: if it is the same
-// incarnation, that one did not end; another one proves a crash.
+// settleLostIncarnation settles a VM's lost incarnation once a worker answers there: an answer
+// of the same incarnation shows that it has not ended, one of another incarnation proves a crash.
 func (c *Core) settleLost(w *worker, now Instant) {
 	if l, ok := c.dropUnsettled(w.info.VM); ok && l.id != w.info.ID {
 		c.countCrashes(w.info.VM, l, now)
 	}
 }
 
-// forgetOldCrashes drops records of VMs that are older than their limits.
+// forgetOldCrashes drops records of lost incarnations, crashes and silences of VMs that are
+// older than their limits.
 func (c *Core) forgetOldCrashes(now Instant) {
 	for vm, l := range c.lostIncarnations {
 		if now.Steady-l.at > lostIncarnationKept {
--- a/dispatch/members.go
+++ b/dispatch/members.go
@@ -9,7 +9,7 @@
 
 // SetWorkers applies the platform's list of workers. The list proves nothing
 // about incarnations: entries of ended ones expire late, and a write of an ended
-// one may be carried out after those of the next. Only a worker's own answer does.
+// one may be carried out after those of the next. Only a worker's own answer is proof.
 func (c *Core) SetWorkers(list []WorkerInfo, now Instant) {
 	c.listedAt = now.Steady
 	c.reach.invalidate()
@@ -84,6 +84,7 @@
 	}
 }
 
+// searchWorker returns the position of a worker in a list sorted by id, and whether it is there.
 func placeOf(list []*worker, w *worker) (int, bool) {
 	return slices.BinarySearchFunc(list, w.info.ID, func(x *worker, id WorkerID) int { return cmp.Compare(x.info.ID, id) })
 }
--- a/dispatch/orders.go
+++ b/dispatch/orders.go
@@ -20,7 +20,8 @@
 	invalidPause = 1 * time.Second
 )
 
-// start places a run of a task at a worker, and orders it or has it recorded first.
+// start places a run of a task at a worker. It orders the start at once, or once the store
+// holds its record if that is needed; see recordStart.
 func (c *Core) start(t *task, w *worker, run uint64, checkpoint, ticket string, now Instant) {
 	s := t.step
 	deadline := c.deadlineIn(w, startWindow, now)
@@ -56,8 +57,8 @@
 	})
 }
 
-// stop orders an attempt to end; the worker then lists its end, or a list lacks
-// the run.
+// stop orders the end of an attempt. The attempt is released once the worker reports its end
+// or no longer lists the run.
 func (c *Core) stop(a *attempt, reason string, now Instant) {
 	if a.stopping {
 		return
@@ -68,7 +69,8 @@
 	c.sendStop(a, now)
 }
 
-// phaseOf keeps a done task in phaseDone, whatever happens to a run of it.
+// phaseOf returns the phase p for a task, unless the task is done: it then stays in
+// phaseDone, whatever happens to a run of it.
 func phaseOf(t *task, p phase) phase {
 	if t.phase == phaseDone {
 		return phaseDone
@@ -142,23 +144,23 @@
 	}
 }
 
-// startUnanswered sends the same start again, unless its worker has been closed to new tasks
-// since. The worker carries it out once.
+// startUnanswered sends the same start again, unless its worker drains or its data centre
+// was evacuated since. The worker carries a start out only once.
 func (c *Core) startUnanswered(a *attempt, o Order, now Instant) {
 	c.stats.Unanswered++
 	again := a.ackClock == 0 && !a.stopping && a.tries < maxStartTries && a.worker.clockNow(now) < a.deadline &&
 		!a.worker.info.Draining && !c.evacuated[a.worker.info.DataCentre]
 	c.logTask("start_unanswered", a.task, a.worker, a.run, "")
 	if !again {
-		return // the next list after the deadline decides
+		return // the next list after the deadline shows whether it runs
 	}
 	a.tries++
 	a.worker.leaseSent = now.Steady
 	c.out = append(c.out, o)
 }
 
-// startRefused handles an order that had no effect. If an earlier copy of it was not
-// answered, that copy may still be carried out: then a list decides.
+// startRefused handles a start that had no effect. If an earlier copy of it was not answered,
+// that copy may still be carried out, so only a list shows whether the run exists.
 func (c *Core) startRefused(a *attempt, ans Answer, now Instant) {
 	c.stats.Refused++
 	c.logGivenUp("start_refused", a, ans.Outcome.String(), fmt.Sprintf("try %d", a.tries), now.Steady-a.started)
@@ -179,7 +181,8 @@
 	}
 }
 
-// stopDone records that the worker will refuse a start that has not arrived yet.
+// stopDone processes the answer to a stop. A worker that has carried out the stop refuses a
+// start of the same run that arrives later.
 func (c *Core) stopDone(a *attempt, ans Answer) {
 	if ans.Outcome == OutcomeOK {
 		a.ackClock, a.unlisted = max(a.ackClock, ans.ClockMS), false
--- a/dispatch/overload.go
+++ b/dispatch/overload.go
@@ -31,7 +31,7 @@
 	// latenessDecay is the factor by which an observed lateness decays each tick: a
 	// tenth is left after a second.
 	latenessDecay = 0.8
-	// Lateness from which each step applies. On the smallest VM an owner is 0 to 3 ms
+	// The lateness from which each step applies. On the smallest VM an owner is 0 to 3 ms
 	// late before its load arrives and 21 ms as it arrives; an urgent job's objective is
 	// some 300 ms, and a call to a worker times out after 400 ms.
 	lateFewReadings = 40 * time.Millisecond
@@ -81,7 +81,7 @@
 // Load returns the step of load shedding and the lateness that it follows from.
 func (c *Core) Load() (Load, time.Duration) { return c.overload.load, c.overload.late }
 
-// allowsStart reports whether tasks of a step may be started at the present load.
+// allowsStart reports whether tasks of a job's step may be started at the present load.
 func (o *overload) allowsStart(s *stepRun) bool {
 	return o.load < LoadNoFills || o.load < LoadNoStarts && !s.spec.Fills
 }
--- a/dispatch/polls.go
+++ b/dispatch/polls.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// PollPlan is the next step for a worker: send Order if Send is set, and plan
-// again after Pause otherwise.
+// PollPlan is the next step for a worker: if Send is set, Request is sent, otherwise the
+// next plan is due after Pause.
 type PollPlan struct {
 	Order PollRequest
 	Send  bool
 	Pause time.Duration
-	// Gone is set once the worker needs no further polls.
+	// Gone is set once the core has dropped the worker: it is not polled any more.
 	Gone bool
 }
 
@@ -19,12 +19,12 @@
 // tasks again; nothing is sent.
 const idlePause = 500 * time.Millisecond
 
-// idleRead is the age from which the clock of a worker without tasks is read again.
+// idleClockAge is the age from which the clock of a worker without tasks is read again.
 // A minute later the estimate may be 1.2 s off, at 2%, and deadlines that much
 // shorter; after ten minutes none could be given.
 const idleRead = time.Minute
 
-// PlanPoll returns the next poll of a worker.
+// PlanPoll returns the next poll of a worker, or the pause until it is planned again.
 func (c *Core) PlanPoll(id WorkerID, now Instant) PollPlan {
 	w := c.workers[id]
 	if w == nil {
@@ -41,24 +41,24 @@
 	if idle && now.Steady-w.clockAt < idleRead {
 		return PollPlan{Pause: idlePause}
 	}
-	h := PollRequest{Worker: id, Address: w.info.Address, Token: c.tokenOf(w), Seen: w.acknowledgement(now)}
-	w.unansweredAck = max(w.unansweredAck, h.Seen)
+	r := PollRequest{Worker: id, Address: w.info.Address, Token: c.tokenOf(w), Seen: w.acknowledgement(now)}
+	w.unansweredAck = max(w.unansweredAck, r.Seen)
 	// An unanswered poll may still extend the leases. While a worker is silent,
 	// polls only ask for its lists, so that its leases expire.
 	if (w.synced || w.partlyRead) && w.failedPolls == 0 {
-		h.DeadlineMS = c.deadlineIn(w, c.params.TaskLease, now)
+		r.DeadlineMS = c.deadlineIn(w, c.params.TaskLease, now)
 		if !idle && !w.mustAcknowledge() {
-			h.Wait = w.pollWait(c.overload.load)
-			if wait := w.pollWaitForRecentRuns(now); wait < h.Wait {
-				h.Wait, h.ForLease = wait, true
+			r.Wait = w.pollWait(c.overload.load)
+			if wait := w.pollWaitForRecentRuns(now); wait < r.Wait {
+				r.Wait, r.ForLease = wait, true
 			}
 		}
 	}
 	if c.mayBeStarting(w) {
-		h.Wait = startGap
+		r.Wait = startGap
 	}
 	w.pollSent = now.Steady
-	return PollPlan{Order: h, Send: true}
+	return PollPlan{Order: r, Send: true}
 }
 
 // needsNoPolls reports whether no queue uses the worker's service and no run of this
@@ -69,6 +69,7 @@
 	return !c.services[w.info.Service] && !waits && !w.synced && len(w.attempts) == 0
 }
 
+// pollWait returns how long a poll may wait for an end of a task.
 func (w *worker) pollWait(load Load) time.Duration {
 	if len(w.ends) > 0 || w.partlyRead || len(w.attempts) == 0 && len(w.unexpected) == 0 {
 		return 0
@@ -76,7 +77,7 @@
 	serves, fills := false, false
 	for _, a := range w.attempts {
 		if a.unlisted {
-			return 0 // the next list decides
+			return 0 // the next list shows whether the run has ended
 		}
 		s := a.task.step.spec
 		serves = serves || (s.Lasting && s.TargetMS > 0)
@@ -90,15 +91,15 @@
 
 // PollDone processes the answer to a poll and returns how long to wait before
 // the next one.
-func (c *Core) PollDone(order PollRequest, reply PollReply, outcome Outcome, now Instant) time.Duration {
-	w := c.workers[order.Worker]
+func (c *Core) PollDone(request PollRequest, reply PollReply, outcome Outcome, now Instant) time.Duration {
+	w := c.workers[request.Worker]
 	if w == nil {
 		return 0
 	}
 	switch outcome {
 	case OutcomeOK:
 	case OutcomeFenced:
-		if order.Token < c.tokenOf(w) {
+		if request.Token < c.tokenOf(w) {
 			return 0 // sent before another incarnation of its id was known
 		}
 		c.depose(w)
@@ -119,19 +120,19 @@
 	w.failedPolls, w.unansweredCalls, w.lastPollAnswer = 0, 0, now.Steady
 	c.reach.invalidate()
 	w.answeredPollSent = w.pollSent
-	w.confirmedDeadline = max(w.confirmedDeadline, order.DeadlineMS)
-	w.acknowledgedEnd, w.unansweredAck = max(w.acknowledgedEnd, order.Seen), 0
+	w.confirmedDeadline = max(w.confirmedDeadline, request.DeadlineMS)
+	w.acknowledgedEnd, w.unansweredAck = max(w.acknowledgedEnd, request.Seen), 0
 	w.recordAnswer(now)
 	c.endOtherIncarnations(w, now)
 	c.settleLost(w, now)
 	fresh := w.recordClock(reply.ClockMS, now)
 	c.processEnds(w, reply.Ended, now)
 	if fresh {
-		w.forLease = order.ForLease
+		w.forLease = request.ForLease
 		c.compareRunning(w, reply, now)
 	}
 	if !w.synced && fresh {
-		c.sync(w, order, reply, now)
+		c.sync(w, request, reply, now)
 	}
 	w.advanceStoredEnd()
 	if len(w.ends) > 0 || !fresh || w.mustAcknowledge() && w.acknowledgement(now) == 0 {
@@ -169,13 +170,13 @@
 // sync records that the worker's lists were read under this term. While an answer is full, the
 // end of a task may not have fitted in it: what it lacks is not known until an answer is not
 // full, and runs keep their leases.
-func (c *Core) sync(w *worker, order PollRequest, reply PollReply, now Instant) {
+func (c *Core) sync(w *worker, request PollRequest, reply PollReply, now Instant) {
 	// Runs here may have any lease that the previous owner could give.
 	w.lastDeadline = max(w.lastDeadline, reply.ClockMS+c.params.MaxTaskLease.Milliseconds())
 	if w.fencedAt == 0 {
 		w.fencedAt = now.Steady
 	}
-	w.partlyRead = reply.full() || c.mayBeStarting(w) && !waitedFor(startGap, order, reply)
+	w.partlyRead = reply.full() || c.mayBeStarting(w) && !waitedFor(startGap, request, reply)
 	if w.partlyRead {
 		return
 	}
@@ -187,7 +188,8 @@
 // restarted under its id, may lack a run that was ordered before: the worker may check the
 // start's token before a poll brings the new one, and carry the start out after it has
 // gathered its list. So its first list is requested with a wait of startGap. A list that
-// arrives sooner, since there are ends, is used for what it reports, and the next one decides.
+// arrives sooner, since there are ends, is used for what it reports; the next one shows
+// whether a run is missing.
 func (c *Core) mayBeStarting(w *worker) bool {
 	_, waits := c.unresolved[w.info.ID]
 	return (waits || w.hasPredecessor) && (w.fencedAt == 0 || w.pollSent < w.fencedAt+startGap)
@@ -195,10 +197,11 @@
 
 // waitedFor reports whether a worker gathered its lists at least d after a poll had reached it:
 // it answers sooner only if it has ends to report.
-func waitedFor(d time.Duration, order PollRequest, reply PollReply) bool {
-	return order.Wait >= d && len(reply.Ended) == 0
+func waitedFor(d time.Duration, request PollRequest, reply PollReply) bool {
+	return request.Wait >= d && len(reply.Ended) == 0
 }
 
+// depose records that a worker has seen a higher term: another owner has taken over.
 func (c *Core) depose(w *worker) {
 	if !c.deposed {
 		c.trace(Decision{Event: "deposed", Worker: w.info.ID, Reason: "the worker has seen a higher term"})
@@ -206,6 +209,7 @@
 	c.deposed = true
 }
 
+// pollFailed processes a poll without a usable answer and returns the pause before the next one.
 func (c *Core) pollFailed(w *worker, outcome Outcome, now Instant) time.Duration {
 	w.recordNoAnswer(outcome, now)
 	w.failedPolls++
--- a/dispatch/ports.go
+++ b/dispatch/ports.go
@@ -11,28 +11,27 @@
 )
 
 // WorkerID names one incarnation of a worker, which is one run of its process: the
-// worker's id and, if it reports one, its time of birth; see IncarnationID.
+// worker's id and, if known, the time when the incarnation started; see IncarnationID.
 type WorkerID string
 
 // WorkerInfo is what the platform lists of a worker.
 type WorkerInfo struct {
 	ID WorkerID
 	// VM is the machine that the worker runs on.
-	VM         string
-	Address    string
-	Service    string
-	DataCentre string
-	Rack       string
-	Labels     []string
-	CPUMilli   int64
-	MemoryMiB  int64
-	// Accelerators is the number of accelerators.
+	VM           string
+	Address      string
+	Service      string
+	DataCentre   string
+	Rack         string
+	Labels       []string
+	CPUMilli     int64
+	MemoryMiB    int64
 	Accelerators int64
 	// Draining is set once the worker is about to end; Leaving is then the
-	// least time that is left.
+	// least time until it ends.
 	Draining bool
 	Leaving  time.Duration
-	// Cold is for how long it still works slowly after its start or after the
+	// Cold is for how long the worker still runs slowly after its start or after the
 	// evacuation of its data centre.
 	Cold time.Duration
 }
@@ -82,8 +81,8 @@
 	Task       job.TaskID
 	Run        uint64
 	Checkpoint string
-	// Percent is the part of its work that is done; for a long-running task the part of
-	// its startup, so that 100 means it is in operation.
+	// Percent is the part of the task's work that is done; for a long-running task, the part
+	// of its startup, so that 100 means that it is in operation.
 	Percent int
 	// Reading covers the last half second: the tail latency in milliseconds
 	// of a task that serves, else the processor time in use in thousandths
--- a/dispatch/reach.go
+++ b/dispatch/reach.go
@@ -3,8 +3,9 @@
 import "time"
 
 // silent reports whether a worker's newest poll was not answered, while the owner
-// itself was on time and reached most others. Without these conditions, an owner that
-// is late, or whose link is congested, restarts tasks whose ends it has not read yet.
+// itself was on time and reached at least half of the others. Without these conditions, an
+// owner that is late, or whose link is congested, would restart tasks whose ends it has not
+// read yet.
 func (c *Core) silent(w *worker, now Instant) bool {
 	return w.failedPolls > 0 && w.failedPollSent > c.overload.inconclusiveAt && c.reachesOthers(w, now)
 }
@@ -47,9 +48,10 @@
 // invalidate drops the counts, after the contact with a worker has changed.
 func (r *reach) invalidate() { r.known = false }
 
-// exclude takes a worker out of the counts.
+// remove takes a worker out of the counts.
 func (r *reach) exclude(w *worker) { r.counts[w.contactAt(r.at)]-- }
 
+// reachAt returns the counts for the present time.
 func (c *Core) reachAt(now Instant) *reach {
 	r := &c.reach
 	if r.known && r.at == now.Steady {
--- a/dispatch/recover.go
+++ b/dispatch/recover.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// unresolvedWorker is a worker of the previous owner that has not answered yet.
+// unresolvedWorker holds what may run at a worker of the previous owner that has not
+// answered yet.
 type unresolvedWorker struct {
 	until time.Duration // when all leases there have expired
 	// open is set if any task may run there, else only those in tasks.
@@ -128,7 +129,7 @@
 
 // mayHaveFailedBefore reports whether a failed task may have used its last
 // attempt: a worker of the previous owner that has not answered yet may list
-// failures of earlier runs. The previous owner knew of fewer failures than the limit
+// failures of earlier runs. The previous owner had read fewer failures than the limit
 // when it started the newest run, so only a failure read since can be the last one.
 // Without this wait, a next owner that read the second of two failures first started
 // the task a third time, 0.15 s after the failure.
@@ -178,7 +179,7 @@
 	c.forgetUnread()
 }
 
-// repairGang ends a gang's run that lost members with the previous owner, once the
+// repairGang ends a gang's run of which members were lost while the owner changed, once the
 // state of each member is known.
 func (c *Core) repairGang(s *stepRun, now Instant) {
 	if slices.ContainsFunc(s.tasks, func(t *task) bool { return t.phase == phaseUnknown }) {
@@ -198,7 +199,7 @@
 	return waits
 }
 
-// Recovering returns the number of workers that the core still waits for.
+// Recovering returns the number of workers of the previous owner that have not answered yet.
 func (c *Core) Recovering() int { return len(c.unresolved) }
 
 // recoverySlack is added to the wait for the previous owner's leases, for the
--- a/dispatch/roster.go
+++ b/dispatch/roster.go
@@ -51,8 +51,8 @@
 	stale             map[int]bool
 }
 
-// rosterPart is the entries of one part; written is set once a write holds the newest
-// ones.
+// rosterPart holds the entries of one part; written is set once the newest ones were
+// encoded for a write.
 type rosterPart struct {
 	ids     map[WorkerID]bool
 	written bool
@@ -60,6 +60,7 @@
 
 func newRoster() roster { return roster{entries: map[WorkerID]RosterEntry{}, stale: map[int]bool{}} }
 
+// ensure adds an open entry of a worker that has none.
 func (r *roster) ensure(info WorkerInfo) {
 	if _, ok := r.entries[info.ID]; !ok {
 		r.put(RosterEntry{ID: info.ID, Address: info.Address, VM: info.VM, part: r.partWithCapacity()})
@@ -101,7 +102,7 @@
 	return r.firstWithCapacity
 }
 
-// drop removes a worker. A stored entry that is not needed would make the next
+// drop removes the entry of a worker. A stored entry that is not needed would make the next
 // owner wait for a worker that never answers.
 func (r *roster) drop(id WorkerID) {
 	e, ok := r.entries[id]
@@ -115,9 +116,9 @@
 }
 
 // updateClosed closes the entries of workers that get no starts, and reopens them
-// afterwards. Without it, after a takeover all tasks wait for a worker that left long
-// ago, since any of them may have been started there: ten seconds in 2 of 27
-// takeovers of a day with rolling restarts.
+// afterwards. Otherwise all tasks wait after a takeover for a worker that left long ago,
+// since any of them may have been started there: ten seconds in 2 of 27 takeovers of a day
+// with rolling restarts.
 func (c *Core) updateClosed() {
 	for _, w := range c.order {
 		e, ok := c.roster.entries[w.info.ID]
@@ -156,15 +157,15 @@
 	return list
 }
 
-// RosterStale reports whether parts of the roster, or the record of Unheard, must be
+// RosterStale reports whether parts of the roster, or the record of Unread, must be
 // written.
 func (c *Core) RosterStale() bool { return len(c.roster.stale) > 0 || c.unreadStale }
 
-// Roster returns up to most of the parts of the roster that must be written.
-func (c *Core) Roster(most int) ([]RosterPart, error) {
+// Roster returns the parts of the roster that must be written, at most limit of them.
+func (c *Core) Roster(limit int) ([]RosterPart, error) {
 	numbers := slices.Sorted(maps.Keys(c.roster.stale))
 	var parts []RosterPart
-	for _, n := range numbers[:min(most, len(numbers))] {
+	for _, n := range numbers[:min(limit, len(numbers))] {
 		part, err := c.rosterPart(n)
 		if err != nil {
 			return nil, err
--- a/dispatch/silence.go
+++ b/dispatch/silence.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// tickWorker repeats stops at a worker, and gives up a worker that is silent for
-// longer than its leases last.
+// tickWorker repeats stops at a worker, gives up the runs at a silent worker whose leases
+// have expired, and forgets a silent worker that is not needed.
 func (c *Core) tickWorker(w *worker, now Instant) {
 	if w.endReason != "" {
 		c.endIncarnation(w, w.endReason, now)
@@ -16,8 +16,8 @@
 	for _, a := range w.attempts {
 		c.tickAttempt(a, now)
 	}
-	// An owner that may have been replaced must not conclude anything from
-	// elapsed time alone: the next one may know how these runs ended.
+	// An owner that may have been replaced must not give up runs because of
+	// elapsed time alone: the next one may know how they ended.
 	if len(w.attempts) > 0 && c.holdsLease(now) && c.silent(w, now) {
 		c.releaseSilent(w, now)
 	}
@@ -43,13 +43,13 @@
 	}
 	l := c.lostIncarnationOf(w, now)
 	c.releaseLost(w, expired, "its leases are over", now)
-	if c.lostIncarnations[w.info.VM].id != w.info.ID { // else it holds these runs already
+	if c.lostIncarnations[w.info.VM].id != w.info.ID { // otherwise its record has these runs already
 		c.keepUnsettled(w.info.VM, l)
 	}
 }
 
-// mayBeOfNextIncarnation reports whether a run may have been started by an incarnation of its
-// worker's id that the owner does not know of.
+// mayBeOfNextIncarnation reports whether a run may have been started by a later incarnation
+// of its worker's id, of which the owner has no record yet.
 func (a *attempt) mayBeOfNextIncarnation() bool { return a.worker.info.ID.Born() != 0 && !a.listed }
 
 // nextIncarnationExpired reports whether all leases have expired that the next incarnation of a
@@ -107,9 +107,9 @@
 	c.ended[w.info.ID] = true
 }
 
-// endedIncarnationRecord returns what is remembered of an ended incarnation, if it had runs.
+// endedIncarnationRecord returns the record of an ended incarnation, if it had runs.
 func (c *Core) endedIncarnationRecord(w, next *worker, now Instant) (l lostIncarnation, hadRuns bool) {
-	lost, unsettled := c.lostIncarnations[w.info.VM]
+	lost, found := c.lostIncarnations[w.info.VM]
 	switch {
 	case next != nil && w.info.ID.Born() == 0:
 		return lostIncarnation{}, false // it may be the incarnation that answers now, of which more is known
@@ -117,15 +117,15 @@
 		l = c.lostIncarnationOf(w, now)
 		c.logIncarnationEnd(w, l.end, w.recentRuns(), now)
 		return l, true
-	case len(w.attempts) == 0 && unsettled && lost.id == w.info.ID:
+	case len(w.attempts) == 0 && found && lost.id == w.info.ID:
 		return c.dropUnsettled(w.info.VM)
 	default:
 		return lostIncarnation{}, false
 	}
 }
 
-// endOtherIncarnations concludes that incarnations of a worker's VM or id have ended that were
-// known before its newest poll was sent and have not answered since: a VM runs one incarnation
+// endOtherIncarnations ends those incarnations of a worker's VM or id that were known before
+// its newest poll was sent and have not answered since: a VM runs one incarnation
 // at a time, and an ended one does not return. An incarnation that became known later may have
 // followed this one while its answer was in flight.
 func (c *Core) endOtherIncarnations(w *worker, now Instant) {
@@ -140,6 +140,7 @@
 	}
 }
 
+// forgetWorker removes a worker from the core.
 func (c *Core) forget(w *worker, reason string) {
 	delete(c.workers, w.info.ID)
 	delete(c.unstoredEnds, w)
--- a/dispatch/startrecord.go
+++ b/dispatch/startrecord.go
@@ -19,8 +19,8 @@
 }
 
 // recordStart records the start of a task that may crash its worker, so that the next owner
-// has a record of it too. It reports whether the start waits until that is stored: that of a
-// task with possible crashes only does not.
+// has a record of it too. It reports whether the start waits until the record is stored: the
+// start of a task that has only possible crashes does not.
 func (c *Core) recordStart(a *attempt, checkpoint string) (waits bool) {
 	t := a.task.suspect()
 	if t.crashes == 0 && len(t.possibleCrashRuns) == 0 {
@@ -40,7 +40,7 @@
 // HasUnsentStarts reports whether starts wait for the store.
 func (c *Core) HasUnsentStarts() bool { return len(c.unsentStarts) > 0 }
 
-// sendRecorded sends the starts that the store holds by now. One that has waited longer than
+// sendRecordedStarts sends the starts whose records the store holds by now. One that has waited longer than
 // startWindow, or whose worker gets no more starts, is released.
 func (c *Core) sendRecorded(now Instant) {
 	list := c.unsentStarts
@@ -50,7 +50,7 @@
 		switch {
 		case a.task.attempt != a || a.stopping:
 		case now.Steady-a.placedAt > startWindow || a.worker.info.Draining || c.evacuated[a.worker.info.DataCentre]:
-			c.logGivenUp("start_not_sent", a, "the store did not take its record, or its worker takes none", "", now.Steady-a.placedAt)
+			c.logGivenUp("start_not_sent", a, "its record was not stored in time, or its worker gets no more starts", "", now.Steady-a.placedAt)
 			c.release(a, now)
 		case a.task.step.job.persisted < u.version:
 			c.unsentStarts = append(c.unsentStarts, u)
@@ -89,6 +89,7 @@
 	}
 }
 
+// recoverStart settles a start that a previous owner recorded, or keeps it until its worker answers.
 func (c *Core) recoverStart(t *task, start job.Start, now Instant) {
 	id := WorkerID(start.Worker)
 	r := recordedStart{task: t, run: start.Run, end: endSilent}
@@ -122,21 +123,21 @@
 	}
 }
 
-// settleStarts settles the starts at a worker once everything that can be known of them is.
+// settleStarts settles the starts at a worker once nothing more can be learned about them.
 func (c *Core) settleStarts(id WorkerID, now Instant) {
 	list := c.recordedStarts[id]
 	delete(c.recordedStarts, id)
 	w := c.workers[id]
 	for _, r := range list {
 		if !r.ended && (w == nil || !w.synced) {
-			r.ended = true // its leases have expired
+			r.ended = true // the leases there have expired
 		}
 		c.settleStart(id, r, now)
 	}
 }
 
-// settleStart settles the outcome of a start: its run is adopted, had no effect at a
-// worker that still runs, or may have crashed its worker.
+// settleStart settles the outcome of a start: its run was adopted, the start had no effect at
+// a worker whose incarnation has not ended, or it may have crashed its worker.
 func (c *Core) settleStart(id WorkerID, r recordedStart, now Instant) {
 	t := r.task
 	if t.step.job.progress.State.Final() || t.phase == phaseDone || c.adopted(t, r.run) {
@@ -154,7 +155,7 @@
 	}
 }
 
-// adopted reports whether a run of a task, or of its gang, is or may be running.
+// isCurrentRun reports whether a run is the current one of a task or of its gang.
 func (c *Core) adopted(t *task, run uint64) bool {
 	if t.step.spec.Gang {
 		return t.step.gangRun == run
--- a/dispatch/suspect.go
+++ b/dispatch/suspect.go
@@ -10,13 +10,14 @@
 // Limits for suspects, tasks that may crash the workers that start them.
 const (
 	// crashLimit is the number of crashes in a row after which a task is given up, if the last
-	// came while the task was on trial, and isolatedLimit of them were isolated, the last among
-	// them. Workers also crash for other reasons, up to 15% of them at once: lower limits would
-	// give up tasks that only were at such workers.
+	// came while the task was on trial (see trialCrashes), and isolatedLimit of them were
+	// isolated, the last among them. Workers also crash for other reasons, up to 15% of them at
+	// once: lower limits would give up tasks that only were at such workers.
 	crashLimit    = 3
 	isolatedLimit = 2
-	// maxCrashes in a row, crashLimit of them not inconclusive, a task is given up whatever
-	// else crashes: users allow two starts after the third crash.
+	// maxCrashes is the number of crashes in a row, at least crashLimit of them conclusive,
+	// after which a task is given up whatever else crashes: users allow two starts after the
+	// third crash.
 	maxCrashes = 5
 )
 
@@ -30,17 +31,18 @@
 }
 
 // suspectedCrashes returns how many workers in a row may have crashed when the task was
-// started: known crashes, and runs whose worker's fate is unsettled.
+// started: known crashes, and unconfirmed ones, of runs at workers that were lost and may or
+// may not have crashed.
 func (t *task) suspectedCrashes() int {
 	t = t.suspect()
 	return t.crashes + t.unconfirmedCrashes
 }
 
-// setSuspectedCrashes sets the number of known crashes of a suspect and of its unsettled
-// runs, and maintains the counts of suspects.
-func (c *Core) setSuspectedCrashes(t *task, crashes, unsettled int) {
+// setSuspectedCrashes sets the numbers of known and of unconfirmed crashes of a suspect, and
+// maintains the counts of suspects.
+func (c *Core) setSuspectedCrashes(t *task, crashes, unconfirmed int) {
 	before := t.crashes+t.unconfirmedCrashes > 0
-	t.crashes, t.unconfirmedCrashes = crashes, max(unsettled, 0)
+	t.crashes, t.unconfirmedCrashes = crashes, max(unconfirmed, 0)
 	after := t.crashes+t.unconfirmedCrashes > 0
 	if before == after {
 		return
@@ -132,7 +134,7 @@
 	c.setFinal(j, job.Failed, fmt.Sprintf("task %s: %d workers in a row crashed when it was started", t.id(), n.Sure), now)
 }
 
-// countInconclusive counts a start of a suspect that may have crashed its worker.
+// countInconclusive counts a start of a suspect that may have crashed its worker, without proof.
 func (c *Core) countInconclusive(t *task, run uint64, reason string) {
 	j := t.step.job
 	if !j.progress.CountCrash(t.id(), job.Crash{Run: run, Unsure: true}) {
@@ -149,7 +151,7 @@
 func (c *Core) clearSuspicion(t *task, run uint64, reason string) {
 	t = t.suspect()
 	progress := &t.step.job.progress
-	if !slices.ContainsFunc(t.possibleCrashRuns, func(d uint64) bool { return d > run }) {
+	if !slices.ContainsFunc(t.possibleCrashRuns, func(r uint64) bool { return r > run }) {
 		c.setPossibleCrashes(t, nil)
 	}
 	if t.crashes == 0 || run < progress.NewestCrash(t.id()) {
@@ -180,12 +182,12 @@
 }
 
 // suspectWaitReason returns why a suspect is not started yet, or nothing. The store must
-// hold its crashes, so that the next owner has them, and while too many runs are unsettled
-// these may all have been crashes.
+// hold its crashes, so that the next owner has them. While too many of its crashes are
+// unconfirmed, all of them may be real.
 func (c *Core) suspectWaitReason(t *task, now Instant) string {
 	readySince := t.readySince
 	t = t.suspect()
-	spaced := now.Steady-readySince < starvedAfter || c.isLastStart(t) // several have waited for the same crashes
+	spaced := now.Steady-readySince < starvedAfter || c.isLastStart(t) // last starts are always spaced: several tasks may have waited for the same crash rate
 	switch {
 	case t.crashes > 0 && t.step.job.persisted < t.crashVersion:
 		return "the store to hold what is known of its crashes"
--- a/dispatch/trial.go
+++ b/dispatch/trial.go
@@ -9,17 +9,18 @@
 // Limits of trials. A suspect with trialCrashes or more is on trial: it is started at a worker
 // where no other run starts for a while, so that a crash there can be attributed to it.
 const (
-	// trialTime is how long no other suspect starts at a worker where one was started, and
-	// nothing else if that one is on trial.
+	// trialTime is how long no other suspect starts at a worker after one was started there.
+	// If that one is on trial, no other task starts there either.
 	trialTime = 2 * time.Second
 	// trialInterval is the time between starts of tasks on trial, so that their crashes
 	// don't appear simultaneous.
 	trialInterval = 2 * simultaneousWindow
 	// recentStartWindow separates runs by their starts. A run started this much earlier
-	// than another one on its worker is less likely to have crashed it, and a task on
-	// trial beside a more recent run proves nothing.
+	// than another one on its worker is less likely to have crashed it. A crash of a task on
+	// trial proves nothing if another run was started there this recently.
 	recentStartWindow = 500 * time.Millisecond
-	// suspectRetryInterval is the time before a step is tried again whose suspect no worker takes.
+	// suspectRetryInterval is the pause before the suspects of a step are tried again, after
+	// no worker could take one of them.
 	suspectRetryInterval = 100 * time.Millisecond
 	// trialCrashes is the number of crashes from which a suspect is on trial.
 	trialCrashes = crashLimit - 1
@@ -38,22 +39,22 @@
 	if p.withoutSuspects != nil {
 		return p.withoutSuspects
 	}
-	a := &suspectFreePool{racks: map[string]bool{}}
+	f := &suspectFreePool{racks: map[string]bool{}}
 	for _, w := range p.workers {
 		if now.Steady >= w.suspectUntil {
-			a.workers = append(a.workers, w)
+			f.workers = append(f.workers, w)
 		} else {
-			a.racks[w.info.Rack] = true
+			f.racks[w.info.Rack] = true
 		}
 	}
-	p.withoutSuspects = a
-	return a
+	p.withoutSuspects = f
+	return f
 }
 
-// exclude removes a worker where a suspect is started now.
-func (a *suspectFreePool) exclude(w *worker) {
-	a.workers = slices.DeleteFunc(a.workers, func(o *worker) bool { return o == w })
-	a.racks[w.info.Rack] = true
+// remove removes a worker where a suspect is started now.
+func (f *suspectFreePool) exclude(w *worker) {
+	f.workers = slices.DeleteFunc(f.workers, func(o *worker) bool { return o == w })
+	f.racks[w.info.Rack] = true
 }
 
 // placeSuspects starts the suspects of a step, each at a worker without another recently
@@ -66,23 +67,23 @@
 		if t.phase != phaseReady || t.suspectedCrashes() == 0 || now.Steady < t.notBefore || t.endUnknown && !c.holdsLease(now) || c.suspectWaitReason(t, now) != "" {
 			continue
 		}
-		w, apart := c.workerForSuspect(t, p, now)
+		w, separate := c.workerForSuspect(t, p, now)
 		if w == nil {
 			s.apartRetry = now.Steady + suspectRetryInterval
 			c.freeCapacity(s, c.queues[s.job.spec.Queue].Priority, p.workers, now)
 			return
 		}
-		apart = apart && !w.startedRecently(now)
+		separate = separate && !w.startedRecently(now)
 		c.place(t, w, c.newRun(), now)
-		c.recordSuspectStart(t, apart, now)
+		c.recordSuspectStart(t, separate, now)
 		p.suspectFree(now).exclude(w)
 	}
 }
 
-// workerForSuspect returns a worker for a suspect, and whether no other suspect was recently
-// started there. After starvedAfter it accepts any worker: a task that only was beside one
+// workerForSuspect returns a worker for a suspect, and whether it is separate from others: no
+// other suspect was recently started there. After starvedAfter it accepts any worker: a task that only was beside one
 // that crashed its worker must not wait for long.
-func (c *Core) workerForSuspect(t *task, p *pool, now Instant) (w *worker, apart bool) {
+func (c *Core) workerForSuspect(t *task, p *pool, now Instant) (w *worker, separate bool) {
 	free := p.suspectFree(now)
 	v := c.viewOf(t.step, p, now)
 	if w := c.bestForSuspect(t, free.workers, free.racks, v, now); w != nil {
@@ -144,12 +145,12 @@
 }
 
 // recordSuspectStart records that a suspect was just started. If it is on trial, its worker
-// takes no other tasks for trialTime.
-func (c *Core) recordSuspectStart(t *task, apart bool, now Instant) {
+// takes no other tasks for trialTime. Separate is set if no other run was recently started there.
+func (c *Core) recordSuspectStart(t *task, separate bool, now Instant) {
 	w := t.attempt.worker
 	w.suspectUntil = now.Steady + trialTime
 	if t.suspectedCrashes() >= trialCrashes {
-		t.attempt.trial = apart
+		t.attempt.trial = separate
 		c.nextTrial = now.Steady + trialInterval
 		w.fullUntil = max(w.fullUntil, now.Steady+trialTime)
 	}
--- a/dispatch/unread.go
+++ b/dispatch/unread.go
@@ -20,6 +20,7 @@
 	Tasks []string `json:"tasks,omitempty"`
 }
 
+// add adds the tasks that may have run at one more worker.
 func (l *unreadTasks) add(u unresolvedWorker) {
 	l.any = l.any || u.open
 	if l.tasks == nil {
@@ -28,6 +29,7 @@
 	maps.Copy(l.tasks, u.tasks)
 }
 
+// none reports whether no task may have run at such a worker.
 func (l *unreadTasks) none() bool { return !l.any && len(l.tasks) == 0 }
 
 // has reports whether a suspect, or any task of the gang that it represents, may have run there.
@@ -55,8 +57,8 @@
 	}
 }
 
-// Unread returns the record of the tasks that may have run at lost workers, for an owner that
-// takes over before they are forgotten; nil if the store has it.
+// Unread returns the record to store of the tasks that may have run at lost workers, for an
+// owner that takes over before they are forgotten; nil if the store has the newest one.
 func (c *Core) Unread() ([]byte, error) {
 	if !c.unreadStale {
 		return nil, nil
@@ -73,8 +75,8 @@
 	c.unreadStale = err != nil || !bytes.Equal(value, newest)
 }
 
-// RecoverUnread applies the previous owner's record. One that can't be decoded stands for
-// all tasks.
+// RecoverUnread applies the record that the previous owner stored. One that can't be decoded
+// stands for all tasks.
 func (c *Core) RecoverUnread(value []byte) error {
 	var r unreadRecord
 	if err := json.Unmarshal(value, &r); err != nil {
--- a/dispatch/worker.go
+++ b/dispatch/worker.go
@@ -54,13 +54,12 @@
 	// partlyRead is set while its first answers under this term are full, or may lack a
 	// run; see mayBeStarting.
 	partlyRead bool
-	// hasPredecessor is set if another incarnation of its id was known before; see inherit.
+	// hasPredecessor is set if another incarnation of its id was known before.
 	hasPredecessor bool
 	// fencedAt is when it first answered a poll under this term; it refuses starts of
 	// earlier terms that arrive later.
 	fencedAt time.Duration
 	// clock is the reading of the worker's clock at clockAt or a little earlier.
-	// clock is the worker's clock at clockAt or a little earlier.
 	clock   int64
 	clockAt time.Duration
 	// lastDeadline is the latest deadline that any order may have set.
@@ -71,16 +70,15 @@
 	confirmedDeadline int64
 	// forLease is set if its newest list was requested early, to renew the lease.
 	forLease bool
-	// unansweredAck is the highest acknowledgement sent since the newest answer.
-	// endsUncertain is set if the previous incarnation had one, see excludeForAcknowledgement.
+	// unansweredAck is the highest acknowledgement of ends sent since the newest answer.
+	// endsUncertain is set if the previous incarnation had one; see excludeForAcknowledgement.
 	unansweredAck uint64
 	endsUncertain bool
 	// processedEnd is the number of the last end processed, storedEnd that of the last
-	// one that the worker may forget; ends lists those between.
-	// processed is the last end taken into account, seen the last that the
-	// worker may forget; ends lists those between.
+	// one that the worker may forget, acknowledgedEnd that of the last one that a poll with
+	// an answer acknowledged; ends lists those after storedEnd.
 	processedEnd, storedEnd uint64
-	acknowledgedEnd         uint64 // acknowledgement of ends that the worker has answered
+	acknowledgedEnd         uint64
 	ends                    []pendingEnd
 	attempts                []*attempt // in the order of their start orders
 	unexpected              map[job.TaskID]unexpectedRun
@@ -95,14 +93,14 @@
 	lastContact             time.Duration // when it last answered any call
 	loss                    contactLoss
 	placedAt                time.Duration // when a run was last ordered there
-	suspectUntil            time.Duration // until then a suspect task counts as just started there
+	suspectUntil            time.Duration // until then a suspect, a task that may crash its worker, counts as recently started there
 	pollSent                time.Duration // when the newest poll was sent
 	answeredPollSent        time.Duration // when the newest poll with an answer was sent
 	failedPollSent          time.Duration // when the newest poll without an answer was sent
-	strikes                 int
-	failStreak              int
-	avoidUntil              time.Duration
-	fullUntil               time.Duration // until then it gets no tasks: it had no capacity, or a suspect task is on trial
+	strikes                 int           // recent reasons to avoid it; each doubles the next pause
+	failStreak              int           // failures in a row, each of another task
+	avoidUntil              time.Duration // until then it gets no tasks: its tasks fail, or it refuses work
+	fullUntil               time.Duration // until then it gets no tasks: it had no capacity, or a suspect is on trial there
 	endReason               string        // why its incarnation has ended, while that conclusion is deferred
 	leavesAt                time.Duration // latest time at which a draining worker ends
 	load                    workerLoad
@@ -113,13 +111,13 @@
 	endedByMaintenance      bool          // the maintenance of its VM has ended this incarnation
 	slowUntil               time.Duration // until then short tasks go elsewhere if they can
 	coldUntil               time.Duration // see WorkerInfo.Cold
-	slowStrikes             int
-	slowness                float64 // logarithm of its run times relative to the usual ones, smoothed
+	slowStrikes             int           // times it was found slow; each doubles the next pause
+	slowness                float64       // logarithm of its run times relative to the usual ones, smoothed
 	speedMeasures           int
 	overTarget              time.Duration // how long a task was over its target, by the newest list
-	paceScale               float64       // further scale of paces, from 0 to 1
-	recorded                bool          // the stored roster names it
-	gates                   gates
+	paceScale               float64       // factor on the paces of its fill tasks, up to 1
+	recorded                bool          // the stored roster has an open entry of it; see roster
+	gates                   gates         // as of the latest pass
 }
 
 // resources is an amount of a worker's capacity that tasks use.
@@ -133,7 +131,8 @@
 	version uint64
 }
 
-// unexpectedRun is a listed run that the owner did not expect; the owner stops it.
+// unexpectedRun is a listed run that the owner did not expect. The owner stops it, and
+// repeats the stop at nextStopAt.
 type unexpectedRun struct {
 	run    uint64
 	askAt  time.Duration
@@ -197,11 +196,11 @@
 		used.accelerators+r.accelerators <= w.info.Accelerators
 }
 
-// unreached reports whether the worker did not answer its newest polls.
+// unreached reports whether the worker did not answer its newest polls, unreachedAfter at least.
 func (w *worker) unreached() bool { return w.failedPolls >= unreachedAfter }
 
-// recordClock records a clock reading; it reports false if the reading is older than
-// one recorded before, because answers arrived out of order.
+// recordClock records a reading of the worker's clock. It reports false if there is none, or
+// if it is older than one recorded before, because answers arrived out of order.
 func (w *worker) recordClock(clock int64, now Instant) bool {
 	if clock == 0 || clock < w.clock {
 		return false
