--- a/dispatch/suspect.go
+++ b/dispatch/suspect.go
@@ -187,7 +187,7 @@
 func (c *Core) suspectWaitReason(t *task, now Instant) string {
 	readySince := t.readySince
 	t = t.suspect()
-	spaced := now.Steady-readySince < starvedAfter || c.isLastStart(t) // last starts are always spaced: several tasks may have waited for the same crash rate
+	spaced := now.Steady-readySince < starvedAfter || c.isLastStart(t) // several may have waited for the same low crash rate
 	switch {
 	case t.crashes > 0 && t.step.job.persisted < t.crashVersion:
 		return "the store to hold what is known of its crashes"
--- a/dispatch/trial.go
+++ b/dispatch/trial.go
@@ -80,9 +80,9 @@
 	}
 }
 
-// workerForSuspect returns a worker for a suspect, and whether it is separate from others: no
-// other suspect was recently started there. After starvedAfter it accepts any worker: a task that only was beside one
-// that crashed its worker must not wait for long.
+// workerForSuspect returns a worker for a suspect, and whether the start is separate from those
+// of other suspects: none was recently started there. After starvedAfter it accepts any worker:
+// a task that only was at the same worker as one that crashed it must not wait for long.
 func (c *Core) workerForSuspect(t *task, p *pool, now Instant) (w *worker, separate bool) {
 	free := p.suspectFree(now)
 	v := c.viewOf(t.step, p, now)
--- a/dispatch/worker.go
+++ b/dispatch/worker.go
@@ -97,7 +97,7 @@
 	pollSent                time.Duration // when the newest poll was sent
 	answeredPollSent        time.Duration // when the newest poll with an answer was sent
 	failedPollSent          time.Duration // when the newest poll without an answer was sent
-	strikes                 int           // recent reasons to avoid it; each doubles the next pause
+	strikes                 int           // times it was avoided, less one for each task done; each doubles the next pause
 	failStreak              int           // failures in a row, each of another task
 	avoidUntil              time.Duration // until then it gets no tasks: its tasks fail, or it refuses work
 	fullUntil               time.Duration // until then it gets no tasks: it had no capacity, or a suspect is on trial there
