--- a/dispatch/attempts_test.go
+++ b/dispatch/attempts_test.go
@@ -32,8 +32,8 @@
 	}{
 		"failed":         {EndFailed, func(*job.Step) {}, attempts},
 		"failed gang":    {EndFailed, func(s *job.Step) { s.Gang = true }, attempts},
-		"failed lasting": {EndFailed, func(s *job.Step) { s.Lasting = true }, 0},
-		"done lasting":   {EndDone, func(s *job.Step) { s.Lasting = true }, 0},
+		"failed lasting": {EndFailed, func(s *job.Step) { s.LongRunning = true }, 0},
+		"done lasting":   {EndDone, func(s *job.Step) { s.LongRunning = true }, 0},
 		"stopped":        {EndStopped, func(*job.Step) {}, 0},
 		"lapsed":         {EndLapsed, func(*job.Step) {}, 0},
 		"broken gang":    {EndBroken, func(s *job.Step) { s.Gang = true }, 0},
--- a/dispatch/cancel_test.go
+++ b/dispatch/cancel_test.go
@@ -25,7 +25,7 @@
 func TestCancelledJobStopsForGood(t *testing.T) {
 	for _, kind := range []EndKind{EndStopped, EndFailed, EndDone, EndLapsed} {
 		for name, change := range map[string]func(s *job.Step){
-			"plain": func(*job.Step) {}, "lasting": func(s *job.Step) { s.Lasting = true }, "gang": func(s *job.Step) { s.Gang = true },
+			"plain": func(*job.Step) {}, "lasting": func(s *job.Step) { s.LongRunning = true }, "gang": func(s *job.Step) { s.Gang = true },
 		} {
 			t.Run(name+" "+string(kind), func(t *testing.T) {
 				core, now := idleCore(t, 1)
--- a/dispatch/capacity_test.go
+++ b/dispatch/capacity_test.go
@@ -20,7 +20,7 @@
 	f := &capacityFleet{now: Instant{Steady: time.Second}, info: testWorkerInfo("w1", "m1")}
 	f.info.CPUMilli = 4000
 	f.core = leasedCore(Params{MaxWorkerListAge: 3 * time.Second}, 1, f.now)
-	f.core.SetConfig(&job.Config{Version: 2, Queues: []job.Queue{{Name: "q", Service: "svc", Stretch: 2, TargetLatency: time.Second, RoomUnguarded: unguarded}}})
+	f.core.SetConfig(&job.Config{Version: 2, Queues: []job.Queue{{Name: "q", Service: "svc", Stretch: 2, TargetLatency: time.Second, CapacityUnchecked: unguarded}}})
 	f.list()
 	rosterOf(t, f.core)
 	poll(f.core, "w1", f.now.Steady, f.now.Steady+time.Millisecond)
--- a/dispatch/checkpoint_rapid_test.go
+++ b/dispatch/checkpoint_rapid_test.go
@@ -48,7 +48,7 @@
 // drawRun draws a task, a run of it and its worker. The run is one that the core ordered there,
 // an earlier owner's, or one that no owner can have ordered there.
 func (m *checkpointModel) drawRun(t *rapid.T) (id job.TaskID, run uint64, worker WorkerID) {
-	id = job.TaskID{Job: m.spec.ID, Occurrence: rapid.IntRange(0, m.spec.Times()-1).Draw(t, "occurrence"), Step: rapid.IntRange(0, len(m.spec.Steps)-1).Draw(t, "step")}
+	id = job.TaskID{Job: m.spec.ID, Occurrence: rapid.IntRange(0, m.spec.OccurrenceCount()-1).Draw(t, "occurrence"), Step: rapid.IntRange(0, len(m.spec.Steps)-1).Draw(t, "step")}
 	id.Index = rapid.IntRange(0, m.spec.Steps[id.Step].Count-1).Draw(t, "index")
 	started := m.started[id]
 	if len(started) > 0 && rapid.Bool().Draw(t, "ordered") {
--- a/dispatch/clear_reserved.go
+++ b/dispatch/clear_reserved.go
@@ -51,7 +51,7 @@
 // is no more urgent, and its step can have one more task unavailable.
 func (c *Core) mayClear(a *attempt, k *reservedCapacity, now Instant) bool {
 	s := a.task.step
-	return s.spec.Lasting && !s.spec.Gang && !a.stopping && a.task.phase == phaseRunning && a.pastStart &&
+	return s.spec.LongRunning && !s.spec.Gang && !a.stopping && a.task.phase == phaseRunning && a.pastStart &&
 		now.Steady-a.started >= clearAge && c.queues[s.job.spec.Queue].Priority >= k.priority &&
-		a.task.othersUnavailable() < max(s.spec.MaxAway, 1)
+		a.task.othersUnavailable() < max(s.spec.MaxUnavailable, 1)
 }
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -277,7 +277,7 @@
 	for _, q := range config.Queues {
 		c.queues[q.Name] = q
 		c.services[q.Service] = true
-		c.unguarded[q.Service] = q.RoomUnguarded
+		c.unguarded[q.Service] = q.CapacityUnchecked
 	}
 }
 
--- a/dispatch/core_test.go
+++ b/dispatch/core_test.go
@@ -87,7 +87,7 @@
 // longRunningJob is a job of tasks that run until the job is cancelled.
 func longRunningJob(id, tasks int) *job.Spec {
 	spec := simpleJob(id, tasks)
-	spec.Steps[0].Lasting = true
+	spec.Steps[0].LongRunning = true
 	return spec
 }
 
--- a/dispatch/crashrate.go
+++ b/dispatch/crashrate.go
@@ -86,7 +86,7 @@
 	d := taskDecision("crash_compared", t, nil, x.run, "")
 	d.Detail = fmt.Sprintf("its worker crashed alone %v, few others crashed before %v", isolated, lowRate)
 	c.trace(d)
-	if !isolated || !j.progress.CrashAlone(t.id(), x.run) {
+	if !isolated || !j.progress.MarkCrashIsolated(t.id(), x.run) {
 		return
 	}
 	c.markChanged(j)
--- a/dispatch/demand.go
+++ b/dispatch/demand.go
@@ -54,7 +54,7 @@
 
 // short reports whether the step's tasks end by themselves and need reserved
 // capacity.
-func (s *stepRun) short() bool { return s.spec.ShortStep() }
+func (s *stepRun) short() bool { return s.spec.IsShort() }
 
 // recordDemand records the demand of the short steps of a pass, after it.
 func (c *Core) recordDemand(list []candidate, now Instant) {
--- a/dispatch/densewaves_test.go
+++ b/dispatch/densewaves_test.go
@@ -33,7 +33,7 @@
 	d.f.rackSize = 1
 	for i := range 4 {
 		spec := simpleJob(i+1, 4)
-		spec.Steps[0].Lasting = true
+		spec.Steps[0].LongRunning = true
 		d.harmless = append(d.harmless, spec)
 		d.f.core.AddJob(spec, nil, false, d.f.now)
 	}
--- a/dispatch/ends.go
+++ b/dispatch/ends.go
@@ -86,7 +86,7 @@
 		if a != nil {
 			c.learnRunTime(a, now)
 		}
-		if !t.step.spec.Lasting {
+		if !t.step.spec.LongRunning {
 			c.finishTask(t, a, now)
 		}
 	case EndFailed:
@@ -116,7 +116,7 @@
 // a whole: its failures are counted at its first task.
 func (c *Core) countFailure(t *task, run uint64, now Instant) {
 	s := t.step
-	if s.spec.Lasting {
+	if s.spec.LongRunning {
 		return
 	}
 	id := t.id()
@@ -124,7 +124,7 @@
 		id.Index = 0
 	}
 	j := s.job
-	if !j.progress.CountFailure(id, run) {
+	if !j.progress.RecordFailure(id, run) {
 		return
 	}
 	s.tasks[id.Index].failedInTerm = true
--- a/dispatch/evacuation_test.go
+++ b/dispatch/evacuation_test.go
@@ -42,7 +42,7 @@
 		"plain":    func(*job.Spec) {},
 		"gang":     func(s *job.Spec) { s.Steps[0].Gang = true },
 		"repeated": func(s *job.Spec) { s.Occurrences, s.FirstDueMS, s.IntervalMS = 2, 1, 1 },
-		"lasting":  func(s *job.Spec) { s.Steps[0].Lasting = true },
+		"lasting":  func(s *job.Spec) { s.Steps[0].LongRunning = true },
 		"fills":    func(s *job.Spec) { s.Steps[0].Fills, s.Steps[0].Image = true, "i" },
 		"copies":   func(s *job.Spec) { s.Steps[0].Speculative = true },
 	} {
--- a/dispatch/idle_test.go
+++ b/dispatch/idle_test.go
@@ -17,7 +17,7 @@
 	s.idle(idle)
 	o := s.owner
 	timed := simpleJob(2, 6)
-	timed.Steps[0].Lasting, timed.Steps[0].MaxPerWorker = true, 1
+	timed.Steps[0].LongRunning, timed.Steps[0].MaxPerWorker = true, 1
 	timed.Occurrences, timed.FirstDueMS = 1, (s.now + simHorizon - 300*time.Millisecond).Milliseconds()
 	s.submit(timed)
 	s.run(40 * time.Millisecond)
--- a/dispatch/lists.go
+++ b/dispatch/lists.go
@@ -77,7 +77,7 @@
 // findTask returns the task with this id, nil if it is unknown.
 func (c *Core) findTask(id job.TaskID) *task {
 	j := c.jobs[id.Job]
-	if j == nil || id.Occurrence >= j.spec.Times() || id.Step >= len(j.spec.Steps) {
+	if j == nil || id.Occurrence >= j.spec.OccurrenceCount() || id.Step >= len(j.spec.Steps) {
 		return nil
 	}
 	at := id.Occurrence*len(j.spec.Steps) + id.Step
--- a/dispatch/maintenance_drain.go
+++ b/dispatch/maintenance_drain.go
@@ -105,7 +105,7 @@
 		}
 		s := a.task.step.spec
 		switch {
-		case s.Lasting:
+		case s.LongRunning:
 			if a.task.mayStop() && (timedOut || c.hasCapacityElsewhere(a.task, now)) {
 				c.move(a, "its VM has upkeep", now)
 			}
@@ -118,7 +118,7 @@
 // mayStop reports whether a long-running task may be stopped: fewer than MaxAway of
 // the others of its step may be unavailable.
 func (t *task) mayStop() bool {
-	return t.step.spec.MaxAway == 0 || t.othersUnavailable() < t.step.spec.MaxAway
+	return t.step.spec.MaxUnavailable == 0 || t.othersUnavailable() < t.step.spec.MaxUnavailable
 }
 
 // othersUnavailable returns how many other tasks of a long-running step are unavailable.
--- a/dispatch/pace.go
+++ b/dispatch/pace.go
@@ -48,7 +48,7 @@
 		return
 	}
 	s := t.step.spec
-	if s.Lasting && s.TargetMS > 0 {
+	if s.LongRunning && s.TargetMS > 0 {
 		a.tail.record(float64(row.Reading)/float64(s.TargetMS), now.Steady)
 		return
 	}
--- a/dispatch/place_test.go
+++ b/dispatch/place_test.go
@@ -42,7 +42,7 @@
 		step.MaxPerWorker = rapid.IntRange(0, 3).Draw(t, "most a worker")
 		step.DataRack = rapid.SampledFrom([]string{"", "r0", "r2"}).Draw(t, "data")
 		step.Fills = rapid.Bool().Draw(t, "fills")
-		step.Lasting = !step.Fills && rapid.Bool().Draw(t, "lasting")
+		step.LongRunning = !step.Fills && rapid.Bool().Draw(t, "lasting")
 		c.AddJob(spec, nil, false, now)
 		s := c.jobs[spec.ID].steps[0]
 		var x *chooser
--- a/dispatch/polls.go
+++ b/dispatch/polls.go
@@ -80,7 +80,7 @@
 			return 0 // the next list shows whether the run has ended
 		}
 		s := a.task.step.spec
-		serves = serves || (s.Lasting && s.TargetMS > 0)
+		serves = serves || (s.LongRunning && s.TargetMS > 0)
 		fills = fills || s.Fills
 	}
 	if serves && fills && load < LoadFewReadings {
--- a/dispatch/rank_test.go
+++ b/dispatch/rank_test.go
@@ -20,7 +20,7 @@
 	}
 	expired := add(1, 0, job.Step{Count: 1, EstimateMS: 1000})
 	late := add(2, 16_000, job.Step{Count: 1, EstimateMS: 1000})
-	longRunning := add(3, 1_000, job.Step{Count: 1, Lasting: true})
+	longRunning := add(3, 1_000, job.Step{Count: 1, LongRunning: true})
 	soon := add(4, 19_900, job.Step{Count: 1, EstimateMS: 1000})
 	sooner := add(5, 19_000, job.Step{Count: 1, EstimateMS: 1000})
 	want := []*stepRun{sooner, soon, longRunning, late, expired}
--- a/dispatch/reserved_test.go
+++ b/dispatch/reserved_test.go
@@ -76,7 +76,7 @@
 func (c *crowdedSim) submitLongRunning() {
 	c.id++
 	spec := longRunningJob(c.id, 8)
-	spec.Steps[0].CPUMilli, spec.Steps[0].MaxAway = 800, 1
+	spec.Steps[0].CPUMilli, spec.Steps[0].MaxUnavailable = 800, 1
 	c.day.longRunning++
 	if !c.submitAdmitted(spec) {
 		c.day.refused++
@@ -249,7 +249,7 @@
 func TestClearingRespectsMaxAway(t *testing.T) {
 	core, now := idleCore(t, 8)
 	spec := longRunningJob(1, 16)
-	spec.Steps[0].CPUMilli, spec.Steps[0].MaxAway = 1500, 2
+	spec.Steps[0].CPUMilli, spec.Steps[0].MaxUnavailable = 1500, 2
 	core.AddJob(spec, nil, false, now)
 	core.Schedule(now)
 	starts(core)
--- a/dispatch/restart_test.go
+++ b/dispatch/restart_test.go
@@ -70,7 +70,7 @@
 // submit adds a job of n tasks, and returns the starts that follow.
 func (x *restartCore) submit(id, n int, longRunning bool) []Order {
 	spec := simpleJob(id, n)
-	spec.Steps[0].Lasting = longRunning
+	spec.Steps[0].LongRunning = longRunning
 	x.core.AddJob(spec, nil, false, x.now)
 	return x.startsNow()
 }
--- a/dispatch/runtimes.go
+++ b/dispatch/runtimes.go
@@ -31,7 +31,7 @@
 // learnRunTime records the time of a run that started without a checkpoint.
 func (c *Core) learnRunTime(a *attempt, now Instant) {
 	s := a.task.step
-	if s.spec.Lasting || a.adopted || a.task.checkpoint.text != "" {
+	if s.spec.LongRunning || a.adopted || a.task.checkpoint.text != "" {
 		return
 	}
 	key := runTimeKey{s.job.spec.Queue, s.spec.Image}
@@ -72,7 +72,7 @@
 		for _, earlier := range s.spec.After {
 			ends[i] = max(ends[i], ends[earlier])
 		}
-		if s.remaining > 0 && !s.spec.Lasting {
+		if s.remaining > 0 && !s.spec.LongRunning {
 			ends[i] += c.estimate(s)
 		}
 		longest = max(longest, ends[i])
--- a/dispatch/sim_checkpoint_test.go
+++ b/dispatch/sim_checkpoint_test.go
@@ -165,7 +165,7 @@
 	s.checkpointIDs++
 	spec := s.checkpointJob(firstCheckpointJob + s.checkpointIDs)
 	s.submit(spec)
-	if spec.Lasting() {
+	if spec.LongRunning() {
 		s.later(2*time.Second+time.Duration(s.checkpointRNG.Int64N(int64(20*time.Second))), func() { s.cancel(spec.ID) })
 	}
 }
@@ -184,10 +184,10 @@
 		first.Gang = rng.IntN(2) == 0
 	case 2:
 		spec.Steps = spec.Steps[:1]
-		first.Lasting = true
+		first.LongRunning = true
 	case 3:
 		spec.Steps = spec.Steps[:1]
-		first.Lasting, first.TargetMS, first.Image = true, simTarget, "serves"
+		first.LongRunning, first.TargetMS, first.Image = true, simTarget, "serves"
 	case 4, 5:
 		spec.Queue = fillQueue
 		spec.Steps = spec.Steps[:1]
--- a/dispatch/sim_crash_test.go
+++ b/dispatch/sim_crash_test.go
@@ -29,7 +29,7 @@
 	case 0:
 		spec.Steps[0].Gang = true
 	case 1:
-		spec.Steps[0].Lasting = true
+		spec.Steps[0].LongRunning = true
 	}
 	s.submit(spec)
 }
--- a/dispatch/sim_faults_test.go
+++ b/dispatch/sim_faults_test.go
@@ -386,7 +386,7 @@
 // submitLongRunning submits a job that runs until it is cancelled.
 func (s *sim) submitLongRunning(id int) {
 	spec := simpleJob(id, 1+s.rng.IntN(3))
-	spec.Steps[0].Lasting = true
+	spec.Steps[0].LongRunning = true
 	s.submit(spec)
 	s.later(2*time.Second+s.within(20*time.Second), func() { s.cancel(spec.ID) })
 }
--- a/dispatch/sim_liveness_test.go
+++ b/dispatch/sim_liveness_test.go
@@ -120,7 +120,7 @@
 
 // notDone returns a task of the job that has not ended done, if there is one.
 func (o *oracle) notDone(spec *job.Spec) (job.TaskID, bool) {
-	for occurrence := range spec.Times() {
+	for occurrence := range spec.OccurrenceCount() {
 		for step := range spec.Steps {
 			for i := range spec.Steps[step].Count {
 				id := job.TaskID{Job: spec.ID, Occurrence: occurrence, Step: step, Index: i}
--- a/dispatch/sim_shapes_test.go
+++ b/dispatch/sim_shapes_test.go
@@ -108,7 +108,7 @@
 func (o *oracle) checkSubmitted(w *simWorker, order Order) {
 	spec := o.sim.submittedSpec(order.Task.Job)
 	t := order.Task
-	if spec == nil || t.Occurrence >= spec.Times() || t.Step >= len(spec.Steps) || t.Index >= spec.Steps[t.Step].Count {
+	if spec == nil || t.Occurrence >= spec.OccurrenceCount() || t.Step >= len(spec.Steps) || t.Index >= spec.Steps[t.Step].Count {
 		o.fail("task %s starts, which nobody submitted", t)
 		return
 	}
--- a/dispatch/sim_worker_test.go
+++ b/dispatch/sim_worker_test.go
@@ -235,7 +235,7 @@
 		return Answer{Outcome: OutcomeNoCapacity, ClockMS: clock}
 	}
 	work := time.Duration(200+w.sim.rng.IntN(2500)) * time.Millisecond
-	if w.sim.specs[o.Task.Job].Steps[o.Task.Step].Lasting {
+	if w.sim.specs[o.Task.Job].Steps[o.Task.Step].LongRunning {
 		work = time.Hour
 	}
 	r := &simRun{task: o.Task, run: o.Run, ends: w.sim.now + work, since: w.sim.now, fails: w.failsAll || w.sim.rng.Float64() < w.sim.failShare}
--- a/dispatch/speed.go
+++ b/dispatch/speed.go
@@ -64,7 +64,7 @@
 func (c *Core) measureSpeed(a *attempt, percent int, now Instant) {
 	s := a.task.step
 	p := &a.progress
-	if s.spec.Lasting || s.spec.Gang || a.stopping {
+	if s.spec.LongRunning || s.spec.Gang || a.stopping {
 		return
 	}
 	if p.at == 0 || a.ackedPace != fullPace || a.wantedPace != fullPace || percent < p.percent || now.Steady-a.started < c.startupTime(a.task) {
@@ -174,7 +174,7 @@
 // and tasks of jobs that have had nothing running for long, if no other worker has
 // capacity. Such jobs must not wait for a worker that may be healthy.
 func (s *stepRun) avoidsSlow(now Instant) bool {
-	return !s.spec.Lasting && !s.starved(now)
+	return !s.spec.LongRunning && !s.starved(now)
 }
 
 // slowCount is how many of a service's listed workers count as slow, as of a time.
--- a/dispatch/speed_test.go
+++ b/dispatch/speed_test.go
@@ -141,7 +141,7 @@
 		s := &stepRun{job: j, spec: &step}
 		return core.choose(&task{step: s}, pool, core.plainView(s, now), now)
 	}
-	short, longRunning := job.Step{Count: 1, CPUMilli: 100}, job.Step{Count: 1, CPUMilli: 100, Lasting: true}
+	short, longRunning := job.Step{Count: 1, CPUMilli: 100}, job.Step{Count: 1, CPUMilli: 100, LongRunning: true}
 	for name, x := range map[string]struct{ got, want *worker }{
 		"a short task waits":             {choose(short, 0, slow), nil},
 		"a short task has another place": {choose(short, 0, slow, sound), sound},
--- a/dispatch/startrecord.go
+++ b/dispatch/startrecord.go
@@ -82,7 +82,7 @@
 			if t.phase == phaseDone || t.suspect() != t {
 				continue
 			}
-			for _, start := range j.progress.Starts[t.id().FailureKey()] {
+			for _, start := range j.progress.Starts[t.id().ProgressKey()] {
 				c.recoverStart(t, start, now)
 			}
 		}
--- a/dispatch/suspect.go
+++ b/dispatch/suspect.go
@@ -98,7 +98,7 @@
 	if t != nil && l.inherited {
 		t.previousTermStartKnown = true
 	}
-	if t == nil || !t.step.job.progress.CountCrash(t.id(), job.Crash{Run: r.Run, Unsure: r.inconclusive()}) {
+	if t == nil || !t.step.job.progress.RecordCrash(t.id(), job.Crash{Run: r.Run, Inconclusive: r.inconclusive()}) {
 		return
 	}
 	j := t.step.job
@@ -126,18 +126,18 @@
 func (c *Core) giveUpIfCrasher(t *task, proof bool, now Instant) {
 	j := t.step.job
 	n := j.progress.CrashCount(t.id())
-	if n.Sure < crashLimit || n.All < maxCrashes && !(proof && n.Alone >= isolatedLimit) {
+	if n.Conclusive < crashLimit || n.All < maxCrashes && !(proof && n.Isolated >= isolatedLimit) {
 		return
 	}
 	c.stats.CrashersGivenUp++
 	c.markExplained(t)
-	c.setFinal(j, job.Failed, fmt.Sprintf("task %s: %d workers in a row crashed when it was started", t.id(), n.Sure), now)
+	c.setFinal(j, job.Failed, fmt.Sprintf("task %s: %d workers in a row crashed when it was started", t.id(), n.Conclusive), now)
 }
 
 // countInconclusive counts a start of a suspect that may have crashed its worker, without proof.
 func (c *Core) countInconclusive(t *task, run uint64, reason string) {
 	j := t.step.job
-	if !j.progress.CountCrash(t.id(), job.Crash{Run: run, Unsure: true}) {
+	if !j.progress.RecordCrash(t.id(), job.Crash{Run: run, Inconclusive: true}) {
 		return
 	}
 	c.markChanged(j)
@@ -178,7 +178,7 @@
 // isLastStart reports whether one more crash ends a suspect's job, whatever else crashes.
 func (c *Core) isLastStart(t *task) bool {
 	n := t.step.job.progress.CrashCount(t.id())
-	return n.All+1 >= maxCrashes && n.Sure+1 >= crashLimit
+	return n.All+1 >= maxCrashes && n.Conclusive+1 >= crashLimit
 }
 
 // suspectWaitReason returns why a suspect is not started yet, or nothing. The store must
--- a/dispatch/suspect_test.go
+++ b/dispatch/suspect_test.go
@@ -20,7 +20,7 @@
 	case "gang of one rack":
 		spec.Steps[0].Gang, spec.Steps[0].SameRack = true, true
 	case "lasting":
-		spec.Steps[0].Lasting = true
+		spec.Steps[0].LongRunning = true
 	case "timed":
 		spec.Occurrences, spec.FirstDueMS, spec.IntervalMS = 3, 1, 20_000
 	case "copies":
@@ -248,7 +248,7 @@
 		t.Run(name, func(t *testing.T) {
 			f := newCrashFleet(t, 12)
 			spec := simpleJob(1, 1)
-			spec.Steps[0].Lasting = true
+			spec.Steps[0].LongRunning = true
 			f.core.AddJob(spec, nil, false, f.now)
 			for range 6 {
 				f.pass(time.Second)
@@ -368,9 +368,9 @@
 	tasks := f.core.jobs[spec.ID].steps[0].tasks
 	for _, x := range tasks {
 		progress := &f.core.jobs[spec.ID].progress
-		progress.CountCrash(x.id(), job.Crash{Run: 1})
+		progress.RecordCrash(x.id(), job.Crash{Run: 1})
 		if x.index < 2 {
-			progress.CountCrash(x.id(), job.Crash{Run: 2})
+			progress.RecordCrash(x.id(), job.Crash{Run: 2})
 		}
 		f.core.setCrashes(x, progress.CrashCount(x.id()).All)
 		f.core.release(x.attempt, f.now)
--- a/dispatch/unavailable_test.go
+++ b/dispatch/unavailable_test.go
@@ -12,7 +12,7 @@
 func TestTasksAtSilentWorkersCountAsUnavailable(t *testing.T) {
 	core, now := idleCore(t, 3)
 	spec := simpleJob(1, 2)
-	spec.Steps[0].Lasting, spec.Steps[0].MaxPerWorker, spec.Steps[0].MaxAway = true, 1, 1
+	spec.Steps[0].LongRunning, spec.Steps[0].MaxPerWorker, spec.Steps[0].MaxUnavailable = true, 1, 1
 	core.AddJob(spec, nil, false, now)
 	core.Schedule(now)
 	list := starts(core)
@@ -41,7 +41,7 @@
 func TestStartingTasksCountAsUnavailable(t *testing.T) {
 	core, now := idleCore(t, 1)
 	spec := simpleJob(1, 2)
-	spec.Steps[0].Lasting, spec.Steps[0].MaxAway = true, 1
+	spec.Steps[0].LongRunning, spec.Steps[0].MaxUnavailable = true, 1
 	core.AddJob(spec, nil, false, now)
 	core.Schedule(now)
 	for _, percent := range []int{0, fullPace - 1, fullPace} {
@@ -64,7 +64,7 @@
 		change func(s *job.Step)
 		stops  int
 	}{
-		"lasting":             {func(s *job.Step) { s.Lasting = true }, 0},
+		"lasting":             {func(s *job.Step) { s.LongRunning = true }, 0},
 		"short":               {func(*job.Step) {}, 0},
 		"fill that saves not": {func(s *job.Step) { s.Fills = true }, 0},
 		"fill that saves":     {func(s *job.Step) { s.Fills, s.Checkpoints = true, true }, 1},
--- a/dispatch/worker.go
+++ b/dispatch/worker.go
@@ -161,7 +161,7 @@
 	w.attempts = append(w.attempts, a)
 	s := a.task.step
 	w.used = w.used.add(s.amount(), 1)
-	if s.spec.Lasting {
+	if s.spec.LongRunning {
 		w.longRunning = w.longRunning.add(s.amount(), 1)
 	}
 	if s.short() {
@@ -173,7 +173,7 @@
 	w.attempts = slices.DeleteFunc(w.attempts, func(b *attempt) bool { return a == b })
 	s := a.task.step
 	w.used = w.used.add(s.amount(), -1)
-	if s.spec.Lasting {
+	if s.spec.LongRunning {
 		w.longRunning = w.longRunning.add(s.amount(), -1)
 	}
 	if s.short() {
