--- a/dispatch/admit.go
+++ b/dispatch/admit.go
@@ -84,7 +84,7 @@
 // beside the long-running tasks of the workers that are not reserved.
 func (c *Core) longRunningSlots(service string, s *job.Step, now Instant) int {
 	amount, places := amountOf(s), 0
-	for _, w := range c.members[service] {
+	for _, w := range c.workersByService[service] {
 		if w.isReserved || !c.inPool(w, service, now) {
 			continue
 		}
--- a/dispatch/attempts_test.go
+++ b/dispatch/attempts_test.go
@@ -75,16 +75,16 @@
 	for i := range 2 {
 		rows = append(rows, RunningTask{Task: job.TaskID{Job: spec.ID, Index: i}, Run: 1<<runBits | 1, Percent: 10})
 	}
-	core.PollDone(core.PlanPoll("w0", now).Order, PollReply{ClockMS: 1000, Running: rows}, OutcomeOK, now)
+	core.PollDone(core.PlanPoll("w0", now).Request, PollReply{ClockMS: 1000, Running: rows}, OutcomeOK, now)
 	core.Tick(now)
 	if started, stopped := ordersOf(core); started+stopped != 0 {
 		t.Fatalf("%d starts and %d stops while the third member may run", started, stopped)
 	}
 	now.Steady += 11 * time.Second
 	for range unreachedAfter {
-		core.PollDone(core.PlanPoll("gone", now).Order, PollReply{}, OutcomeUnknown, now)
+		core.PollDone(core.PlanPoll("gone", now).Request, PollReply{}, OutcomeUnknown, now)
 	}
-	core.PollDone(core.PlanPoll("w0", now).Order, PollReply{ClockMS: 12_000, Running: rows}, OutcomeOK, now)
+	core.PollDone(core.PlanPoll("w0", now).Request, PollReply{ClockMS: 12_000, Running: rows}, OutcomeOK, now)
 	core.Tick(now)
 	if started, stopped := ordersOf(core); started != 0 || stopped != 2 {
 		t.Fatalf("%d starts and %d stops once the third member is lost, want 2 stops", started, stopped)
@@ -113,12 +113,12 @@
 	core.AddJob(spec, nil, true, now)
 	core.SetWorkers([]WorkerInfo{testWorkerInfo("w0", "m0")}, now)
 	storeOpen(core, "w0")
-	core.PollDone(core.PlanPoll("w0", now).Order, PollReply{ClockMS: 1000}, OutcomeOK, now)
+	core.PollDone(core.PlanPoll("w0", now).Request, PollReply{ClockMS: 1000}, OutcomeOK, now)
 	core.Tick(now)
 	if list := starts(core); len(list) > 0 {
 		t.Errorf("%d members start while one may run elsewhere", len(list))
 	}
-	core.PollDone(core.PlanPoll("gone", now).Order, PollReply{ClockMS: 1000}, OutcomeOK, now)
+	core.PollDone(core.PlanPoll("gone", now).Request, PollReply{ClockMS: 1000}, OutcomeOK, now)
 	core.Tick(now)
 	if list := starts(core); len(list) != 3 {
 		t.Errorf("%d members start once none runs anywhere, want 3", len(list))
--- a/dispatch/capacity_test.go
+++ b/dispatch/capacity_test.go
@@ -53,7 +53,7 @@
 			reply.Running = append(reply.Running, RunningTask{Task: other.task.id(), Run: other.run, Percent: fullPace})
 		}
 	}
-	f.core.PollDone(f.core.PlanPoll("w1", f.now).Order, reply, OutcomeOK, f.now)
+	f.core.PollDone(f.core.PlanPoll("w1", f.now).Request, reply, OutcomeOK, f.now)
 }
 
 // TestShrunkAndGrownCapacity: a start never exceeds the capacity that a worker lists, including
--- a/dispatch/clear_reserved.go
+++ b/dispatch/clear_reserved.go
@@ -29,7 +29,7 @@
 		return
 	}
 	var reserved []*worker
-	for _, w := range c.members[service] {
+	for _, w := range c.workersByService[service] {
 		if w.isReserved && w.longRunning.cpu > 0 {
 			reserved = append(reserved, w)
 		}
--- a/dispatch/contract_test.go
+++ b/dispatch/contract_test.go
@@ -28,7 +28,7 @@
 	core.SetWorkers(list, now)
 	storeOpen(core, ids...)
 	for _, id := range ids {
-		core.PollDone(core.PlanPoll(id, now).Order, PollReply{ClockMS: 1000}, OutcomeOK, now)
+		core.PollDone(core.PlanPoll(id, now).Request, PollReply{ClockMS: 1000}, OutcomeOK, now)
 	}
 	return core, now
 }
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -58,7 +58,7 @@
 	term   uint64
 	// runsNumbered counts the run numbers given in this term. With the term in the upper
 	// bits, run numbers rise across changes of the owner without a stored record of each start.
-	nextRun uint64
+	runsNumbered uint64
 	// validUntil is when the right to give orders ends, leaseHeldUntil the time from
 	// which another owner may exist; see Renewed.
 	validUntil, leaseHeldUntil time.Duration
@@ -78,17 +78,17 @@
 	jobs      map[string]*jobState
 	workers   map[WorkerID]*worker
 	// workersByVM holds the known incarnations on each VM, where the VM is known.
-	incarnations map[string][]*worker
+	workersByVM map[string][]*worker
 	// sortedWorkers holds all workers, workersByService and workersByRack those of each
 	// service and rack, all sorted by id.
-	order   []*worker
-	members map[string][]*worker
-	racks   map[string][]*worker
+	sortedWorkers    []*worker
+	workersByService map[string][]*worker
+	workersByRack    map[string][]*worker
 	// unstoredEnds are the workers with ends that are not stored yet.
 	unstoredEnds map[*worker]bool
 	reach        reach
-	slow         map[string]*slowCount // by service
-	work         work
+	slowCounts   map[string]*slowCount // by service
+	checkCounts  checkCounts
 	// incarnationsByName holds the incarnations of each worker's id.
 	incarnationsByName map[string]*sameIDIncarnations
 	// ended holds incarnations that have ended and may still be listed.
@@ -101,7 +101,7 @@
 	// it, read their lists.
 	lostUnread unreadTasks
 	// unreadInTerm is the part of lostUnread from workers that were lost in this term.
-	lostInTerm unreadTasks
+	unreadInTerm unreadTasks
 	// possibleCrashTasks counts the tasks with possible crashes.
 	possibleCrashTasks int
 	// unsentStarts holds the starts that wait for the store, recordedStarts, by worker, those
@@ -111,8 +111,8 @@
 	// unreadStale is set while the store's record of lostUnread is out of date.
 	unreadStale bool
 	// unknownPending is set while tasks in phaseUnknown wait for settleUnknown.
-	unknown bool
-	roster  roster
+	unknownPending bool
+	roster         roster
 	// evacuated holds the data centres whose workers get no new tasks.
 	evacuated map[string]bool
 	openSteps []*stepRun // steps with tasks that may start
@@ -142,7 +142,7 @@
 	// comparisons holds the crashes that are still to be compared with others near them.
 	comparisons []crashComparison
 	// crashesNearNow caches the crashes shortly before the time of the current pass.
-	nearNow nearbyCrashes
+	crashesNearNow nearbyCrashes
 	// nextTrial is when the next trial run of a suspect task may be started.
 	nextTrial time.Duration
 	// dirty holds the jobs whose progress is not stored, with their places in the queue to
@@ -150,8 +150,8 @@
 	dirty             map[*jobState]uint64
 	waves             map[int64]*waveState
 	maintenanceOrders []MaintenanceOrder // not taken yet
-	turn              uint64
-	out               []Order // not taken yet
+	lastQueued        uint64
+	pendingOrders     []Order // not taken yet
 	trace             func(Decision)
 	model             *interference
 	demand            fillDemand
@@ -175,7 +175,7 @@
 
 // checkCounts counts the core's checks of workers. These counts must not grow faster than the
 // number of workers.
-type work struct {
+type checkCounts struct {
 	// reachChecks counts checks whether the owner reaches a worker, slowChecks those
 	// whether it is slow, endChecks those whether its ends are stored.
 	reachChecks, slowChecks, endChecks uint64
@@ -231,7 +231,7 @@
 		params: params, term: term,
 		queues: map[string]job.Queue{}, services: map[string]bool{}, unguarded: map[string]bool{}, jobs: map[string]*jobState{}, cancelled: map[string]time.Duration{}, held: map[string]bool{},
 		lostIncarnations: map[string]lostIncarnation{}, crashed: map[string]crashRecord{}, fellSilent: map[string]time.Duration{},
-		workers: map[WorkerID]*worker{}, incarnations: map[string][]*worker{}, incarnationsByName: map[string]*sameIDIncarnations{}, members: map[string][]*worker{}, racks: map[string][]*worker{}, unstoredEnds: map[*worker]bool{}, slow: map[string]*slowCount{}, ended: map[WorkerID]bool{}, recordedStarts: map[WorkerID][]recordedStart{}, unresolved: map[WorkerID]unresolvedWorker{},
+		workers: map[WorkerID]*worker{}, workersByVM: map[string][]*worker{}, incarnationsByName: map[string]*sameIDIncarnations{}, workersByService: map[string][]*worker{}, workersByRack: map[string][]*worker{}, unstoredEnds: map[*worker]bool{}, slowCounts: map[string]*slowCount{}, ended: map[WorkerID]bool{}, recordedStarts: map[WorkerID][]recordedStart{}, unresolved: map[WorkerID]unresolvedWorker{},
 		roster: newRoster(), dirty: map[*jobState]uint64{}, waves: map[int64]*waveState{}, trace: trace,
 		model: newInterference(), demand: fillDemand{}, reservedCapacity: map[string]*reservedCapacity{}, perfByKey: map[runTimeKey]*runTimes{},
 	}
@@ -283,8 +283,8 @@
 
 // TakeOrders returns the orders decided since the last call.
 func (c *Core) TakeOrders() []Order {
-	out := c.out
-	c.out = nil
+	out := c.pendingOrders
+	c.pendingOrders = nil
 	return out
 }
 
--- a/dispatch/core_test.go
+++ b/dispatch/core_test.go
@@ -76,8 +76,8 @@
 	core.AddJob(spec, nil, true, now)
 	core.Renewed(0)
 	listed := []RunningTask{{Task: job.TaskID{Job: spec.ID}, Run: 7, Percent: 100}}
-	core.PollDone(core.PlanPoll("w1", now).Order, PollReply{ClockMS: 500_000, Running: listed}, OutcomeOK, now)
-	core.PollDone(core.PlanPoll("w2", now).Order, PollReply{ClockMS: 500_000}, OutcomeOK, now)
+	core.PollDone(core.PlanPoll("w1", now).Request, PollReply{ClockMS: 500_000, Running: listed}, OutcomeOK, now)
+	core.PollDone(core.PlanPoll("w2", now).Request, PollReply{ClockMS: 500_000}, OutcomeOK, now)
 	core.Tick(Instant{Steady: now.Steady + 100*time.Millisecond})
 	for _, o := range core.TakeOrders() {
 		t.Errorf("order %v of run %d at %s", o.Kind, o.Run, o.Worker)
@@ -149,7 +149,7 @@
 	core.Renewed(0)
 	for i, w := range []WorkerID{"w1", "w2"} {
 		ended := []EndedTask{{Number: 1, Task: job.TaskID{Job: spec.ID}, Run: uint64(8 - i), Kind: EndFailed}}
-		core.PollDone(core.PlanPoll(w, now).Order, PollReply{ClockMS: 500_000, Ended: ended}, OutcomeOK, now)
+		core.PollDone(core.PlanPoll(w, now).Request, PollReply{ClockMS: 500_000, Ended: ended}, OutcomeOK, now)
 	}
 	core.Tick(Instant{Steady: 2 * time.Second})
 	for _, o := range core.TakeOrders() {
@@ -272,7 +272,7 @@
 	core.SetConfig(&job.Config{Version: 1, Queues: []job.Queue{{Name: "q", Service: "svc"}, {Name: "patient", Service: "svc", Priority: 2}}})
 	core.SetWorkers([]WorkerInfo{{ID: "w", Address: "a", Service: "svc", CPUMilli: 16000, MemoryMiB: 1000}}, now)
 	storeOpen(core, "w")
-	core.PollDone(core.PlanPoll("w", now).Order, PollReply{ClockMS: 1000}, OutcomeOK, now)
+	core.PollDone(core.PlanPoll("w", now).Request, PollReply{ClockMS: 1000}, OutcomeOK, now)
 	fills := simpleJob(1, 2)
 	fills.Queue = "patient"
 	fills.Steps[0].Fills, fills.Steps[0].Checkpoints = true, true
@@ -304,7 +304,7 @@
 	core.SetWorkers([]WorkerInfo{{ID: "w", Address: "a", Service: "svc", CPUMilli: 16000, MemoryMiB: 9000}}, Instant{})
 	storeOpen(core, "w")
 	now := Instant{Steady: time.Second}
-	core.PollDone(core.PlanPoll("w", now).Order, PollReply{ClockMS: 1000}, OutcomeOK, now)
+	core.PollDone(core.PlanPoll("w", now).Request, PollReply{ClockMS: 1000}, OutcomeOK, now)
 	serving, fill := longRunningJob(1, 1), simpleJob(2, 1)
 	serving.Steps[0].TargetMS, serving.Steps[0].Image = 100, "web"
 	fill.Steps[0].Fills, fill.Steps[0].Image = true, "noisy"
--- a/dispatch/crash.go
+++ b/dispatch/crash.go
@@ -84,7 +84,7 @@
 		return false
 	}
 	all, lost := map[string]bool{w.info.VM: true}, map[string]bool{w.info.VM: true}
-	for _, other := range c.racks[w.info.Rack] {
+	for _, other := range c.workersByRack[w.info.Rack] {
 		all[other.info.VM] = true
 		if c.fellSilentWith(other, w.loss.since) {
 			lost[other.info.VM] = true
--- a/dispatch/crash_test.go
+++ b/dispatch/crash_test.go
@@ -196,22 +196,22 @@
 		if !plan.Send {
 			continue
 		}
-		outcome := f.reach(plan.Order.Address, id)
+		outcome := f.reach(plan.Request.Address, id)
 		reply := PollReply{}
 		if outcome == OutcomeOK {
-			id = f.incarnation[plan.Order.Address]
+			id = f.incarnation[plan.Request.Address]
 			reply.ClockMS, reply.Born = f.now.Steady.Milliseconds(), id.Born()
 			for task, run := range f.running[id] {
 				reply.Running = append(reply.Running, RunningTask{Task: task, Run: run, Percent: fullPace})
 			}
 			slices.SortFunc(reply.Running, func(a, b RunningTask) int { return strings.Compare(a.Task.String(), b.Task.String()) })
 			for _, e := range f.ended[id] {
-				if e.Number > plan.Order.Seen {
+				if e.Number > plan.Request.Seen {
 					reply.Ended = append(reply.Ended, e)
 				}
 			}
 		}
-		f.core.PollDone(plan.Order, reply, outcome, f.now)
+		f.core.PollDone(plan.Request, reply, outcome, f.now)
 	}
 }
 
--- a/dispatch/crashrate.go
+++ b/dispatch/crashrate.go
@@ -110,7 +110,7 @@
 			near.others = append(near.others, r)
 		}
 	}
-	for _, w := range c.order {
+	for _, w := range c.sortedWorkers {
 		if w.info.VM == vm || !w.loss.broken || !within(w.loss.since) {
 			continue
 		}
@@ -144,15 +144,15 @@
 // began before this owner's term, the rate is unknown and does not count as low.
 func (c *Core) lowCrashRate(t *task, near nearbyCrashes) bool {
 	known := near.at-crashRateWindow >= c.leaseHeldSince
-	return known && float64(near.count(t, near.at-crashRateWindow)) <= lowCrashShare*float64(len(c.incarnations))
+	return known && float64(near.count(t, near.at-crashRateWindow)) <= lowCrashShare*float64(len(c.workersByVM))
 }
 
 // lowCrashRateNow is lowCrashRate for the present time.
 func (c *Core) lowCrashRateNow(t *task, now Instant) bool {
-	if c.nearNow.at != now.Steady {
-		c.nearNow = c.nearbyCrashes("", now.Steady)
+	if c.crashesNearNow.at != now.Steady {
+		c.crashesNearNow = c.nearbyCrashes("", now.Steady)
 	}
-	return c.lowCrashRate(t, c.nearNow)
+	return c.lowCrashRate(t, c.crashesNearNow)
 }
 
 // markExplained marks the crashes that a task which was given up explains.
--- a/dispatch/demand.go
+++ b/dispatch/demand.go
@@ -139,7 +139,7 @@
 // shortUse returns the capacity that short tasks hold on a service's workers, and their
 // number.
 func (c *Core) shortUse(service string) (cpu int64, tasks int) {
-	for _, w := range c.members[service] {
+	for _, w := range c.workersByService[service] {
 		cpu += w.used.cpu - w.longRunning.cpu
 		tasks += w.shortTasks
 	}
--- a/dispatch/ends.go
+++ b/dispatch/ends.go
@@ -82,7 +82,7 @@
 	case EndDone:
 		c.stats.Done++
 		c.clearSuspicion(t, e.Run, "a run of it is done")
-		w.failStreak, w.strikes = 0, max(0, w.strikes-1)
+		w.failStreak, w.avoidStrikes = 0, max(0, w.avoidStrikes-1)
 		if a != nil {
 			c.learnRunTime(a, now)
 		}
@@ -154,8 +154,8 @@
 	if now.Steady < w.avoidUntil {
 		return
 	}
-	pause := min(avoidMin<<min(w.strikes, 3), avoidMax)
-	w.strikes++
+	pause := min(avoidMin<<min(w.avoidStrikes, 3), avoidMax)
+	w.avoidStrikes++
 	w.avoidUntil = now.Steady + pause
 	c.trace(Decision{Event: "worker_avoided", Worker: w.info.ID, Reason: reason, Age: pause})
 }
--- a/dispatch/evacuation_test.go
+++ b/dispatch/evacuation_test.go
@@ -21,7 +21,7 @@
 	core.SetWorkers(list, now)
 	storeRoster(t, core)
 	for _, w := range list {
-		core.PollDone(core.PlanPoll(w.ID, now).Order, PollReply{ClockMS: 500_000}, OutcomeOK, now)
+		core.PollDone(core.PlanPoll(w.ID, now).Request, PollReply{ClockMS: 500_000}, OutcomeOK, now)
 	}
 	return core, now
 }
@@ -96,7 +96,7 @@
 func TestColdWorkersComeLast(t *testing.T) {
 	core, now := evacuationCore(t)
 	var list []WorkerInfo
-	for _, w := range core.order {
+	for _, w := range core.sortedWorkers {
 		info := w.info
 		if info.DataCentre == "a" {
 			info.Cold = 5 * time.Second
--- a/dispatch/fulllist_test.go
+++ b/dispatch/fulllist_test.go
@@ -29,14 +29,14 @@
 	poll(core, "w2", now.Steady, now.Steady+time.Millisecond)
 	spec := simpleJob(1, 1)
 	core.AddJob(spec, nil, true, now)
-	order := core.PlanPoll("w1", now).Order
+	order := core.PlanPoll("w1", now).Request
 	core.PollDone(order, PollReply{ClockMS: 1000, Ended: fullEnds()}, OutcomeOK, now)
 	now.Steady += 10 * time.Millisecond
 	core.Tick(now)
 	if n := len(starts(core)); n != 0 {
 		t.Errorf("%d starts of a task whose end may be the 501st", n)
 	}
-	order = core.PlanPoll("w1", now).Order
+	order = core.PlanPoll("w1", now).Request
 	end := EndedTask{Number: maxEndsListed + 1, Task: job.TaskID{Job: spec.ID}, Run: 1<<runBits | 1, Kind: EndDone}
 	core.PollDone(order, PollReply{ClockMS: 1100, Ended: []EndedTask{end}}, OutcomeOK, now)
 	core.Tick(now)
@@ -51,11 +51,11 @@
 	core, now := idleCore(t, 1)
 	w := core.workers["w0"]
 	core.releaseAllLost(w, "its leases are over", now)
-	core.PollDone(core.PlanPoll("w0", now).Order, PollReply{ClockMS: w.clock - 1}, OutcomeOK, now)
+	core.PollDone(core.PlanPoll("w0", now).Request, PollReply{ClockMS: w.clock - 1}, OutcomeOK, now)
 	if w.synced {
 		t.Error("lists that were not processed count as read")
 	}
-	core.PollDone(core.PlanPoll("w0", now).Order, PollReply{ClockMS: w.clock + 1}, OutcomeOK, now)
+	core.PollDone(core.PlanPoll("w0", now).Request, PollReply{ClockMS: w.clock + 1}, OutcomeOK, now)
 	if !w.synced {
 		t.Error("lists that were processed don't count as read")
 	}
--- a/dispatch/gang.go
+++ b/dispatch/gang.go
@@ -33,7 +33,7 @@
 	for _, t := range s.tasks {
 		if t.attempt != nil {
 			c.recordSuspectStart(t, apart, now)
-			p.suspectFree(now).exclude(t.attempt.worker)
+			p.suspectFree(now).remove(t.attempt.worker)
 		}
 	}
 }
--- a/dispatch/growth_test.go
+++ b/dispatch/growth_test.go
@@ -46,7 +46,7 @@
 	f.core.SetWorkers(f.list, f.now)
 	storeRoster(t, f.core)
 	for _, info := range f.list {
-		f.core.PollDone(f.core.PlanPoll(info.ID, f.now).Order, PollReply{ClockMS: 1000}, OutcomeOK, f.now)
+		f.core.PollDone(f.core.PlanPoll(info.ID, f.now).Request, PollReply{ClockMS: 1000}, OutcomeOK, f.now)
 	}
 	for i := range growthJobs {
 		spec := longRunningJob(i, workers/growthJobs)
@@ -65,7 +65,7 @@
 	f.t.Helper()
 	f.now.Steady += time.Second
 	for _, info := range f.list {
-		order := f.core.PlanPoll(info.ID, f.now).Order
+		order := f.core.PlanPoll(info.ID, f.now).Request
 		if info.DataCentre == centre {
 			f.core.PollDone(order, PollReply{}, OutcomeUnknown, f.now)
 			continue
@@ -87,9 +87,9 @@
 		f := newGrowthFleet(t, workers)
 		f.silenceDataCentre("1")
 		f.now.Steady += 100 * time.Millisecond
-		before := f.core.work.reachChecks
+		before := f.core.checkCounts.reachChecks
 		f.core.Tick(f.now)
-		if scans := f.core.work.reachChecks - before; scans > uint64(workers) {
+		if scans := f.core.checkCounts.reachChecks - before; scans > uint64(workers) {
 			t.Errorf("%d workers: %d scans in a tick", workers, scans)
 		}
 	}
@@ -104,12 +104,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		w := f.core.order[workers/2]
+		w := f.core.sortedWorkers[workers/2]
 		a := w.attempts[0]
 		f.core.processEnds(w, []EndedTask{{Number: 1, Task: a.task.id(), Run: a.run, Kind: EndFailed}}, f.now)
-		before := f.core.work.endChecks
+		before := f.core.checkCounts.endChecks
 		f.core.Persisted(records)
-		if scans := f.core.work.endChecks - before; scans > 1 {
+		if scans := f.core.checkCounts.endChecks - before; scans > 1 {
 			t.Errorf("%d workers: %d scans for one with an end", workers, scans)
 		}
 	}
@@ -149,11 +149,11 @@
 func TestSlowWorkersAreCountedOnce(t *testing.T) {
 	for _, workers := range fleetSizes() {
 		f := newGrowthFleet(t, workers)
-		before := f.core.work.slowChecks
-		for _, w := range f.core.order[:workers/2] {
+		before := f.core.checkCounts.slowChecks
+		for _, w := range f.core.sortedWorkers[:workers/2] {
 			f.core.pauseSlowWorker(w, f.now)
 		}
-		if scans := f.core.work.slowChecks - before; scans > uint64(workers) {
+		if scans := f.core.checkCounts.slowChecks - before; scans > uint64(workers) {
 			t.Errorf("%d workers: %d scans for the lists of half of them", workers, scans)
 		}
 	}
--- a/dispatch/incarnations.go
+++ b/dispatch/incarnations.go
@@ -78,7 +78,7 @@
 }
 
 // addIncarnation adds an incarnation to those under its worker's id.
-func (c *Core) addToName(w *worker) {
+func (c *Core) addIncarnation(w *worker) {
 	id := w.info.ID
 	n := c.incarnationsByName[id.Name()]
 	if n == nil {
@@ -98,7 +98,7 @@
 }
 
 // removeIncarnation is the opposite of addIncarnation. The fencing token stays unchanged.
-func (c *Core) removeFromName(w *worker) {
+func (c *Core) removeIncarnation(w *worker) {
 	name := w.info.ID.Name()
 	n := c.incarnationsByName[name]
 	n.incarnations = slices.DeleteFunc(n.incarnations, func(o *worker) bool { return o == w })
@@ -110,7 +110,7 @@
 // otherIncarnations returns the other known incarnations under a worker's id and on its VM.
 func (c *Core) otherIncarnations(w *worker) []*worker {
 	var list []*worker
-	for _, known := range [][]*worker{c.incarnationsByName[w.info.ID.Name()].incarnations, c.incarnations[w.info.VM]} {
+	for _, known := range [][]*worker{c.incarnationsByName[w.info.ID.Name()].incarnations, c.workersByVM[w.info.VM]} {
 		for _, other := range known {
 			if other != w && !slices.Contains(list, other) {
 				list = append(list, other)
--- a/dispatch/incarnations_test.go
+++ b/dispatch/incarnations_test.go
@@ -18,7 +18,7 @@
 
 // poll sends a poll and delivers its reply later.
 func poll(core *Core, id WorkerID, sent, answered time.Duration) {
-	order := core.PlanPoll(id, Instant{Steady: sent}).Order
+	order := core.PlanPoll(id, Instant{Steady: sent}).Request
 	core.PollDone(order, PollReply{ClockMS: answered.Milliseconds()}, OutcomeOK, Instant{Steady: answered})
 }
 
@@ -46,7 +46,7 @@
 	now := Instant{Steady: time.Second}
 	core := recoveredCore(now)
 	core.SetWorkers([]WorkerInfo{testWorkerInfo("first", "m1")}, now)
-	order := core.PlanPoll("first", Instant{Steady: 2 * time.Second}).Order
+	order := core.PlanPoll("first", Instant{Steady: 2 * time.Second}).Request
 	core.SetWorkers([]WorkerInfo{testWorkerInfo("second", "m1")}, Instant{Steady: 3 * time.Second})
 	poll(core, "second", 3100*time.Millisecond, 3110*time.Millisecond)
 	core.PollDone(order, PollReply{ClockMS: 2000}, OutcomeOK, Instant{Steady: 4 * time.Second})
--- a/dispatch/jobs.go
+++ b/dispatch/jobs.go
@@ -348,7 +348,7 @@
 
 func (c *Core) makeReady(t *task, now Instant) {
 	if c.mayHaveFailedBefore(t) {
-		t.phase, c.unknown = phaseUnknown, true
+		t.phase, c.unknownPending = phaseUnknown, true
 		return
 	}
 	t.phase = phaseReady
--- a/dispatch/latestart_test.go
+++ b/dispatch/latestart_test.go
@@ -42,7 +42,7 @@
 			core, spec := takeoverWithRoster(t, now)
 			begins := now.Steady + 40*time.Millisecond
 			for range 4 {
-				order := core.PlanPoll("w1", now).Order
+				order := core.PlanPoll("w1", now).Request
 				unseen := slices.DeleteFunc(slices.Clone(ends), func(e EndedTask) bool { return e.Number <= order.Seen })
 				if len(unseen) == 0 {
 					now.Steady += order.Wait
--- a/dispatch/leaving.go
+++ b/dispatch/leaving.go
@@ -69,5 +69,5 @@
 }
 
 func (c *Core) workersInOrder() []*worker {
-	return slices.Clone(c.order) // callers may remove workers while they iterate
+	return slices.Clone(c.sortedWorkers) // callers may remove workers while they iterate
 }
--- a/dispatch/lists.go
+++ b/dispatch/lists.go
@@ -207,13 +207,13 @@
 func (c *Core) stopUnexpected(w *worker, row *RunningTask, now Instant) {
 	u := w.unexpected[row.Task]
 	if u.run != row.Run {
-		u = unexpectedRun{run: row.Run, askAt: now.Steady}
+		u = unexpectedRun{run: row.Run, nextStopAt: now.Steady}
 		c.logUnexpected(w, row)
 	}
 	u.amount, u.unsized = c.sizeOf(row.Task)
-	if now.Steady >= u.askAt {
-		u.askAt = now.Steady + unexpectedStopRetry
-		c.out = append(c.out, Order{Kind: OrderStop, Worker: w.info.ID, Address: w.info.Address, Token: c.tokenOf(w), Task: row.Task, Run: row.Run})
+	if now.Steady >= u.nextStopAt {
+		u.nextStopAt = now.Steady + unexpectedStopRetry
+		c.pendingOrders = append(c.pendingOrders, Order{Kind: OrderStop, Worker: w.info.ID, Address: w.info.Address, Token: c.tokenOf(w), Task: row.Task, Run: row.Run})
 	}
 	w.unexpected[row.Task] = u
 }
--- a/dispatch/longidle_test.go
+++ b/dispatch/longidle_test.go
@@ -18,7 +18,7 @@
 	for end := now.Steady + idle; now.Steady < end; now.Steady += idlePause {
 		core.Renewed(now.Steady)
 		if plan := core.PlanPoll("w1", now); plan.Send {
-			core.PollDone(plan.Order, PollReply{ClockMS: now.Steady.Milliseconds()}, OutcomeOK, now)
+			core.PollDone(plan.Request, PollReply{ClockMS: now.Steady.Milliseconds()}, OutcomeOK, now)
 		}
 	}
 	core.Renewed(now.Steady)
@@ -65,7 +65,7 @@
 			core.OrderDone(o, Answer{Outcome: OutcomeInvalid}, Instant{Steady: now.Steady + 2*time.Millisecond})
 		}
 		if plan := core.PlanPoll("w1", Instant{Steady: now.Steady + 5*time.Millisecond}); plan.Send {
-			core.PollDone(plan.Order, PollReply{ClockMS: now.Steady.Milliseconds() + 6}, OutcomeOK, Instant{Steady: now.Steady + 6*time.Millisecond})
+			core.PollDone(plan.Request, PollReply{ClockMS: now.Steady.Milliseconds() + 6}, OutcomeOK, Instant{Steady: now.Steady + 6*time.Millisecond})
 		}
 		now.Steady += 100 * time.Millisecond
 	}
--- a/dispatch/lostincarnation.go
+++ b/dispatch/lostincarnation.go
@@ -24,11 +24,11 @@
 	// is likelier to have crashed the worker.
 	Older bool `json:"older,omitempty"`
 	// StartUnconfirmed is set if there is no evidence that the worker had started the run.
-	Unconfirmed bool `json:"unconfirmed,omitempty"`
+	StartUnconfirmed bool `json:"unconfirmed,omitempty"`
 }
 
 // inconclusive reports whether the crash proves nothing about the run.
-func (r LostRun) inconclusive() bool { return r.Older || r.Unconfirmed }
+func (r LostRun) inconclusive() bool { return r.Older || r.StartUnconfirmed }
 
 // lostIncarnation is an incarnation whose leases expired before it was known whether it has
 // ended, and how. Its runs count as unconfirmed crashes of their tasks until the VM answers again.
@@ -40,7 +40,7 @@
 	loss contactLoss
 	runs []LostRun
 	// counted is set while its runs count as unconfirmed crashes of their tasks.
-	unsettled bool
+	counted bool
 	// inherited is set if it comes from the previous owner's roster or start records.
 	inherited bool
 	at        time.Duration // when the record was made
@@ -69,8 +69,8 @@
 	list := make([]LostRun, 0, len(recent))
 	for _, a := range recent {
 		list = append(list, LostRun{
-			Task: a.task.id().String(), Run: a.run, Older: newest-a.placedAt >= recentStartWindow, Unconfirmed: !a.confirmed(),
-			Trial: a.trial && a.confirmed() && silentSince-a.placedAt <= trialTime,
+			Task: a.task.id().String(), Run: a.run, Older: newest-a.placedAt >= recentStartWindow, StartUnconfirmed: !a.startConfirmed(),
+			Trial: a.trial && a.startConfirmed() && silentSince-a.placedAt <= trialTime,
 		})
 	}
 	return list
@@ -79,7 +79,7 @@
 // startConfirmed reports whether the worker has started the run: it answered or listed it, or the
 // connection of the start's first copy was broken and no poll was answered since. A call that
 // merely was not answered may never have reached the worker.
-func (a *attempt) confirmed() bool {
+func (a *attempt) startConfirmed() bool {
 	return a.ackClock > 0 || a.listed || a.brokenAt > 0 && a.brokenAt >= a.worker.lastPollAnswer
 }
 
@@ -116,32 +116,32 @@
 // keepLostIncarnation keeps the record of a worker that is lost without proof that its
 // incarnation has ended. Whether it crashed is known once the VM answers again. Until then its
 // tasks run elsewhere, or wait if too many of their crashes are unconfirmed.
-func (c *Core) keepUnsettled(vm string, l lostIncarnation) {
+func (c *Core) keepLostIncarnation(vm string, l lostIncarnation) {
 	if l.end != endCrashed || vm == "" || len(l.runs) == 0 {
 		return
 	}
-	c.dropUnsettled(vm)
-	l.unsettled = true
+	c.dropLostIncarnation(vm)
+	l.counted = true
 	c.lostIncarnations[vm] = l
-	c.addUnsettled(l, 1)
+	c.addUnconfirmedCrashes(l, 1)
 }
 
 // dropLostIncarnation drops the lost incarnation of a VM and returns it.
-func (c *Core) dropUnsettled(vm string) (lostIncarnation, bool) {
+func (c *Core) dropLostIncarnation(vm string) (lostIncarnation, bool) {
 	l, ok := c.lostIncarnations[vm]
 	if !ok {
 		return l, false
 	}
 	delete(c.lostIncarnations, vm)
-	if l.unsettled {
-		c.addUnsettled(l, -1)
+	if l.counted {
+		c.addUnconfirmedCrashes(l, -1)
 	}
 	return l, true
 }
 
 // addUnconfirmedCrashes changes the number of unconfirmed crashes of each task with a run in
 // a lost incarnation.
-func (c *Core) addUnsettled(l lostIncarnation, change int) {
+func (c *Core) addUnconfirmedCrashes(l lostIncarnation, change int) {
 	for _, r := range l.runs {
 		if t := c.suspectByName(r.Task); t != nil {
 			c.setSuspectedCrashes(t, t.crashes, t.unconfirmedCrashes+change)
@@ -151,8 +151,8 @@
 
 // settleLostIncarnation settles a VM's lost incarnation once a worker answers there: an answer
 // of the same incarnation shows that it has not ended, one of another incarnation proves a crash.
-func (c *Core) settleLost(w *worker, now Instant) {
-	if l, ok := c.dropUnsettled(w.info.VM); ok && l.id != w.info.ID {
+func (c *Core) settleLostIncarnation(w *worker, now Instant) {
+	if l, ok := c.dropLostIncarnation(w.info.VM); ok && l.id != w.info.ID {
 		c.countCrashes(w.info.VM, l, now)
 	}
 }
@@ -162,7 +162,7 @@
 func (c *Core) forgetOldCrashes(now Instant) {
 	for vm, l := range c.lostIncarnations {
 		if now.Steady-l.at > lostIncarnationKept {
-			c.dropUnsettled(vm)
+			c.dropLostIncarnation(vm)
 		}
 	}
 	for vm, r := range c.crashed {
@@ -182,7 +182,7 @@
 // proves nothing, but counts towards maxCrashes once the task crashes a worker. It applies
 // to tasks without known crashes: each start of a suspect is recorded anyway.
 func (c *Core) recordStartLostWithOwner(t *task, now Instant) {
-	if t.suspect() == t && t.step.mayHaveStarted(now) && t.step.gangRun == 0 && !t.previousTermStartKnown && t.crashes == 0 && c.lostInTerm.has(t) {
+	if t.suspect() == t && t.step.mayHaveStarted(now) && t.step.gangRun == 0 && !t.previousTermStartKnown && t.crashes == 0 && c.unreadInTerm.has(t) {
 		c.addPossibleCrash(t, c.term<<runBits)
 	}
 }
--- a/dispatch/maintenance_drain.go
+++ b/dispatch/maintenance_drain.go
@@ -70,7 +70,7 @@
 }
 
 func (c *Core) hasTasksOn(vm string) bool {
-	return slices.ContainsFunc(c.incarnations[vm], func(w *worker) bool { return len(w.attempts) > 0 })
+	return slices.ContainsFunc(c.workersByVM[vm], func(w *worker) bool { return len(w.attempts) > 0 })
 }
 
 // cordon keeps new tasks off a worker whose VM waits for its maintenance.
@@ -143,7 +143,7 @@
 // incarnation may still be listed beside the current one, which is returned.
 func (c *Core) workerOfVM(vm string) *worker {
 	var found *worker
-	for _, w := range c.incarnations[vm] {
+	for _, w := range c.workersByVM[vm] {
 		if !w.listed || w.endedByMaintenance {
 			continue
 		}
--- a/dispatch/members.go
+++ b/dispatch/members.go
@@ -50,7 +50,7 @@
 		if _, wait := c.unresolved[id]; !w.listed && !wait && w.empty() && len(w.ends) == 0 {
 			// No run of this owner is there or can start there. If it is
 			// listed again, its lists are read again.
-			c.forget(w, "not listed and without tasks")
+			c.forgetWorker(w, "not listed and without tasks")
 		}
 	}
 }
@@ -60,9 +60,9 @@
 	w := &worker{info: info, knownAt: now.Steady, paceScale: 1, unexpected: map[job.TaskID]unexpectedRun{}}
 	c.workers[info.ID] = w
 	if info.VM != "" {
-		c.incarnations[info.VM] = append(c.incarnations[info.VM], w)
+		c.workersByVM[info.VM] = append(c.workersByVM[info.VM], w)
 	}
-	c.addToName(w)
+	c.addIncarnation(w)
 	c.addToIndexes(w)
 	return w
 }
@@ -70,32 +70,32 @@
 // addToIndexes inserts a worker into the lists of all workers, of its service's and of
 // its rack's workers, each ordered by id.
 func (c *Core) addToIndexes(w *worker) {
-	c.order = insertWorker(c.order, w)
-	c.members[w.info.Service] = insertWorker(c.members[w.info.Service], w)
-	c.racks[w.info.Rack] = insertWorker(c.racks[w.info.Rack], w)
+	c.sortedWorkers = insertWorker(c.sortedWorkers, w)
+	c.workersByService[w.info.Service] = insertWorker(c.workersByService[w.info.Service], w)
+	c.workersByRack[w.info.Rack] = insertWorker(c.workersByRack[w.info.Rack], w)
 }
 
 // removeFromIndexes is the opposite of addToIndexes.
 func (c *Core) removeFromIndexes(w *worker) {
-	c.order = removeWorker(c.order, w)
-	c.members[w.info.Service] = removeWorker(c.members[w.info.Service], w)
-	if c.racks[w.info.Rack] = removeWorker(c.racks[w.info.Rack], w); len(c.racks[w.info.Rack]) == 0 {
-		delete(c.racks, w.info.Rack)
+	c.sortedWorkers = removeWorker(c.sortedWorkers, w)
+	c.workersByService[w.info.Service] = removeWorker(c.workersByService[w.info.Service], w)
+	if c.workersByRack[w.info.Rack] = removeWorker(c.workersByRack[w.info.Rack], w); len(c.workersByRack[w.info.Rack]) == 0 {
+		delete(c.workersByRack, w.info.Rack)
 	}
 }
 
 // searchWorker returns the position of a worker in a list sorted by id, and whether it is there.
-func placeOf(list []*worker, w *worker) (int, bool) {
+func searchWorker(list []*worker, w *worker) (int, bool) {
 	return slices.BinarySearchFunc(list, w.info.ID, func(x *worker, id WorkerID) int { return cmp.Compare(x.info.ID, id) })
 }
 
 func insertWorker(list []*worker, w *worker) []*worker {
-	at, _ := placeOf(list, w)
+	at, _ := searchWorker(list, w)
 	return slices.Insert(list, at, w)
 }
 
 func removeWorker(list []*worker, w *worker) []*worker {
-	at, found := placeOf(list, w)
+	at, found := searchWorker(list, w)
 	if !found {
 		return list
 	}
--- a/dispatch/missing_test.go
+++ b/dispatch/missing_test.go
@@ -7,7 +7,7 @@
 
 // lacking answers a poll, sent now, with a list without running tasks.
 func answerWithoutRuns(core *Core, now *Instant, clock int64, ended ...EndedTask) {
-	order := core.PlanPoll("w0", *now).Order
+	order := core.PlanPoll("w0", *now).Request
 	now.Steady += 10 * time.Millisecond
 	core.PollDone(order, PollReply{ClockMS: clock, Ended: ended}, OutcomeOK, *now)
 }
@@ -26,7 +26,7 @@
 			answerWithoutRuns(core, now, 1200)
 		}, true},
 		"two lists, the second asked for before the first came": {true, func(core *Core, now *Instant, _ int64) {
-			second := core.PlanPoll("w0", *now).Order
+			second := core.PlanPoll("w0", *now).Request
 			answerWithoutRuns(core, now, 1100)
 			core.workers["w0"].pollSent = now.Steady - time.Millisecond
 			core.PollDone(second, PollReply{ClockMS: 1200}, OutcomeOK, *now)
--- a/dispatch/older_list_test.go
+++ b/dispatch/older_list_test.go
@@ -21,7 +21,7 @@
 		t.Fatalf("%d starts", len(first))
 	}
 	now.Steady += time.Millisecond
-	poll := core.PlanPoll(first[0].Worker, now).Order
+	poll := core.PlanPoll(first[0].Worker, now).Request
 	now.Steady += 5 * time.Millisecond // the poll is on its way as the start is carried out
 	core.OrderDone(first[0], Answer{Outcome: OutcomeOK, ClockMS: 1005}, now)
 	core.PollDone(poll, PollReply{ClockMS: 1006}, OutcomeOK, now)
--- a/dispatch/oldercheckpoint_test.go
+++ b/dispatch/oldercheckpoint_test.go
@@ -25,7 +25,7 @@
 		text string
 	}{{2<<runBits | 1, "newer"}, {1<<runBits | 1, "older"}} {
 		now.Steady += 10 * time.Millisecond
-		core.PollDone(PollRequest{Worker: core.order[i].info.ID}, PollReply{ClockMS: 1006, Ended: []EndedTask{
+		core.PollDone(PollRequest{Worker: core.sortedWorkers[i].info.ID}, PollReply{ClockMS: 1006, Ended: []EndedTask{
 			{Number: 1, Task: id, Run: reported.run, Kind: EndStopped, Checkpoint: reported.text},
 		}}, OutcomeOK, now)
 	}
--- a/dispatch/onlyonce_test.go
+++ b/dispatch/onlyonce_test.go
@@ -113,7 +113,7 @@
 			stops := 0
 			for i := range 8 {
 				now.Steady += unexpectedStopRetry / 4
-				core.PollDone(core.PlanPoll("w0", now).Order, PollReply{ClockMS: 1000 + int64(i), Running: []RunningTask{row}}, OutcomeOK, now)
+				core.PollDone(core.PlanPoll("w0", now).Request, PollReply{ClockMS: 1000 + int64(i), Running: []RunningTask{row}}, OutcomeOK, now)
 				for _, o := range core.TakeOrders() {
 					if o.Kind == OrderStop && o.Task == row.Task && o.Run == row.Run {
 						stops++
--- a/dispatch/orders.go
+++ b/dispatch/orders.go
@@ -45,12 +45,12 @@
 }
 
 func (c *Core) newRun() uint64 {
-	c.nextRun++
-	return c.term<<runBits | c.nextRun
+	c.runsNumbered++
+	return c.term<<runBits | c.runsNumbered
 }
 
 func (c *Core) sendStart(a *attempt, checkpoint string) {
-	c.out = append(c.out, Order{
+	c.pendingOrders = append(c.pendingOrders, Order{
 		Kind: OrderStart, Worker: a.worker.info.ID, Address: a.worker.info.Address, Token: c.tokenOf(a.worker),
 		Task: a.task.id(), Run: a.run, Payload: a.task.step.job.spec.Payload,
 		DeadlineMS: a.deadline, Checkpoint: checkpoint, Ticket: a.ticket,
@@ -80,7 +80,7 @@
 
 func (c *Core) sendStop(a *attempt, now Instant) {
 	a.stopAt = now.Steady
-	c.out = append(c.out, Order{
+	c.pendingOrders = append(c.pendingOrders, Order{
 		Kind: OrderStop, Worker: a.worker.info.ID, Address: a.worker.info.Address, Token: c.tokenOf(a.worker),
 		Task: a.task.id(), Run: a.run,
 	})
@@ -156,7 +156,7 @@
 	}
 	a.tries++
 	a.worker.leaseSent = now.Steady
-	c.out = append(c.out, o)
+	c.pendingOrders = append(c.pendingOrders, o)
 }
 
 // startRefused handles a start that had no effect. If an earlier copy of it was not answered,
--- a/dispatch/overload_test.go
+++ b/dispatch/overload_test.go
@@ -34,7 +34,7 @@
 			running = append(running, RunningTask{Task: o.Task, Run: o.Run, Percent: fullPace})
 		}
 		busy := core.jobs[serving.ID].steps[0].tasks[0].attempt.worker.info.ID
-		core.PollDone(core.PlanPoll(busy, now).Order, PollReply{ClockMS: 1001, Running: running}, OutcomeOK, now)
+		core.PollDone(core.PlanPoll(busy, now).Request, PollReply{ClockMS: 1001, Running: running}, OutcomeOK, now)
 
 		core.ObserveLateness(x.late, now)
 		for id := 3; id <= 4; id++ {
@@ -51,7 +51,7 @@
 			t.Errorf("%v late: started %v", x.late, started)
 		}
 		plan := core.PlanPoll(busy, now)
-		if !plan.Send || plan.Order.DeadlineMS == 0 || plan.Order.Wait != x.wait {
+		if !plan.Send || plan.Request.DeadlineMS == 0 || plan.Request.Wait != x.wait {
 			t.Errorf("owner %v late: poll %+v, want a lease and a wait of %v", x.late, plan, x.wait)
 		}
 		core.Cancel(serving.ID, now)
@@ -78,7 +78,7 @@
 	fail := func() {
 		plan := core.PlanPoll(order.Worker, now)
 		now.Steady += time.Second
-		core.PollDone(plan.Order, PollReply{}, OutcomeUnknown, now)
+		core.PollDone(plan.Request, PollReply{}, OutcomeUnknown, now)
 	}
 	fail()
 	now.Steady += 10 * time.Second // all leases have expired
@@ -108,7 +108,7 @@
 	now := Instant{Steady: time.Second}
 	core := recoveredCore(now, RosterEntry{ID: "w1", Address: "w1"})
 	plan := core.PlanPoll("w1", now)
-	core.PollDone(plan.Order, PollReply{}, OutcomeUnknown, now)
+	core.PollDone(plan.Request, PollReply{}, OutcomeUnknown, now)
 	now.Steady += 11 * time.Second
 	core.ObserveLateness(time.Second, now)
 	core.Tick(now)
@@ -117,7 +117,7 @@
 	}
 	now.Steady += time.Second
 	plan = core.PlanPoll("w1", now)
-	core.PollDone(plan.Order, PollReply{}, OutcomeUnknown, now)
+	core.PollDone(plan.Request, PollReply{}, OutcomeUnknown, now)
 	core.ObserveLateness(0, now)
 	core.Tick(now)
 	if core.Recovering() != 0 {
@@ -150,7 +150,7 @@
 				if i < silent {
 					reply, outcome = PollReply{}, OutcomeUnknown
 				}
-				core.PollDone(plan.Order, reply, outcome, now)
+				core.PollDone(plan.Request, reply, outcome, now)
 			}
 		}
 		core.Tick(now)
--- a/dispatch/pace.go
+++ b/dispatch/pace.go
@@ -166,7 +166,7 @@
 			continue
 		}
 		a.paceSentAt = now.Steady
-		c.out = append(c.out, Order{
+		c.pendingOrders = append(c.pendingOrders, Order{
 			Kind: OrderPace, Worker: w.info.ID, Address: w.info.Address, Token: c.tokenOf(w),
 			Task: a.task.id(), Run: a.run, Percent: a.wantedPace,
 		})
--- a/dispatch/partlyread_test.go
+++ b/dispatch/partlyread_test.go
@@ -22,7 +22,7 @@
 	var lease int64
 	for ; now.Steady < 11*time.Second; now.Steady += 500 * time.Millisecond {
 		poll(core, "w2", now.Steady, now.Steady+time.Millisecond)
-		order := core.PlanPoll("w1", now).Order
+		order := core.PlanPoll("w1", now).Request
 		lease = max(lease, order.DeadlineMS)
 		core.PollDone(order, PollReply{ClockMS: now.Steady.Milliseconds(), Ended: fullEnds()}, OutcomeOK, now)
 		core.Tick(now)
@@ -30,7 +30,7 @@
 	if n := len(starts(core)); n != 0 || core.Recovering() == 0 {
 		t.Fatalf("%d starts, %d workers unresolved", n, core.Recovering())
 	}
-	order := core.PlanPoll("w1", now).Order
+	order := core.PlanPoll("w1", now).Request
 	lease = max(lease, order.DeadlineMS)
 	now.Steady += 600 * time.Millisecond
 	poll(core, "w2", now.Steady, now.Steady+time.Millisecond)
@@ -40,7 +40,7 @@
 	if n := len(starts(core)); n != 0 {
 		t.Errorf("%d starts at %v of a task whose end may be the 501st at a worker with leases to its clock %d", n, now.Steady, lease)
 	}
-	order = core.PlanPoll("w1", now).Order
+	order = core.PlanPoll("w1", now).Request
 	end := EndedTask{Number: maxEndsListed + 1, Task: job.TaskID{Job: spec.ID}, Run: 1<<runBits | 1, Kind: EndDone}
 	core.PollDone(order, PollReply{ClockMS: now.Steady.Milliseconds() + 5, Ended: []EndedTask{end}}, OutcomeOK, now)
 	if !t.Failed() && core.Recovering() != 0 {
--- a/dispatch/pendingstarted_test.go
+++ b/dispatch/pendingstarted_test.go
@@ -51,11 +51,11 @@
 		},
 		"the run is listed": func(core *Core, o Order, now Instant) {
 			row := RunningTask{Task: o.Task, Run: o.Run, Percent: fullPace}
-			core.PollDone(core.PlanPoll("w0", now).Order, PollReply{ClockMS: 1100, Running: []RunningTask{row}}, OutcomeOK, now)
+			core.PollDone(core.PlanPoll("w0", now).Request, PollReply{ClockMS: 1100, Running: []RunningTask{row}}, OutcomeOK, now)
 		},
 		"its end is listed": func(core *Core, o Order, now Instant) {
 			end := EndedTask{Number: 1, Task: o.Task, Run: o.Run, Kind: EndFailed}
-			core.PollDone(core.PlanPoll("w0", now).Order, PollReply{ClockMS: 1100, Ended: []EndedTask{end}}, OutcomeOK, now)
+			core.PollDone(core.PlanPoll("w0", now).Request, PollReply{ClockMS: 1100, Ended: []EndedTask{end}}, OutcomeOK, now)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/dispatch/persist.go
+++ b/dispatch/persist.go
@@ -71,12 +71,12 @@
 			j.shown = j.progress.State
 			delete(c.dirty, j)
 		} else if _, waits := c.dirty[j]; waits {
-			c.turn++
-			c.dirty[j] = c.turn // it changed meanwhile, so it moves to the end of the queue
+			c.lastQueued++
+			c.dirty[j] = c.lastQueued // it changed meanwhile, so it moves to the end of the queue
 		}
 	}
 	for w := range c.unstoredEnds {
-		c.work.endChecks++
+		c.checkCounts.endChecks++
 		if w.advanceStoredEnd(); len(w.ends) == 0 {
 			delete(c.unstoredEnds, w)
 		}
--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -22,7 +22,7 @@
 	if c.deposed || now.Steady >= c.validUntil {
 		return
 	}
-	c.sendRecorded(now)
+	c.sendRecordedStarts(now)
 	list := c.candidates(now)
 	if len(list) == 0 {
 		c.recordDemand(nil, now)
--- a/dispatch/places_test.go
+++ b/dispatch/places_test.go
@@ -109,7 +109,7 @@
 		core.SetWorkers([]WorkerInfo{{ID: "w0", Address: "w0", Service: "svc", CPUMilli: 4000, MemoryMiB: 8000}}, now)
 		storeOpen(core, "w0")
 		row := RunningTask{Task: job.TaskID{Job: spec.ID}, Run: 1<<runBits | 1, Percent: 10}
-		core.PollDone(core.PlanPoll("w0", now).Order, PollReply{ClockMS: 1000, Running: []RunningTask{row}}, OutcomeOK, now)
+		core.PollDone(core.PlanPoll("w0", now).Request, PollReply{ClockMS: 1000, Running: []RunningTask{row}}, OutcomeOK, now)
 		core.Schedule(now)
 		if list := starts(core); len(list) > 0 {
 			t.Errorf("%s: task %s starts beside an adopted one", name, list[0].Task)
--- a/dispatch/polls.go
+++ b/dispatch/polls.go
@@ -8,9 +8,9 @@
 // PollPlan is the next step for a worker: if Send is set, Request is sent, otherwise the
 // next plan is due after Pause.
 type PollPlan struct {
-	Order PollRequest
-	Send  bool
-	Pause time.Duration
+	Request PollRequest
+	Send    bool
+	Pause   time.Duration
 	// Gone is set once the core has dropped the worker: it is not polled any more.
 	Gone bool
 }
@@ -22,7 +22,7 @@
 // idleClockAge is the age from which the clock of a worker without tasks is read again.
 // A minute later the estimate may be 1.2 s off, at 2%, and deadlines that much
 // shorter; after ten minutes none could be given.
-const idleRead = time.Minute
+const idleClockAge = time.Minute
 
 // PlanPoll returns the next poll of a worker, or the pause until it is planned again.
 func (c *Core) PlanPoll(id WorkerID, now Instant) PollPlan {
@@ -38,7 +38,7 @@
 	}
 	// A worker whose last task has ended gets one more poll, so that it forgets the end.
 	idle := w.synced && len(w.attempts) == 0 && len(w.unexpected) == 0 && len(w.ends) == 0 && w.acknowledgedEnd >= w.storedEnd
-	if idle && now.Steady-w.clockAt < idleRead {
+	if idle && now.Steady-w.clockAt < idleClockAge {
 		return PollPlan{Pause: idlePause}
 	}
 	r := PollRequest{Worker: id, Address: w.info.Address, Token: c.tokenOf(w), Seen: w.acknowledgement(now)}
@@ -58,7 +58,7 @@
 		r.Wait = startGap
 	}
 	w.pollSent = now.Steady
-	return PollPlan{Order: r, Send: true}
+	return PollPlan{Request: r, Send: true}
 }
 
 // needsNoPolls reports whether no queue uses the worker's service and no run of this
@@ -124,7 +124,7 @@
 	w.acknowledgedEnd, w.unansweredAck = max(w.acknowledgedEnd, request.Seen), 0
 	w.recordAnswer(now)
 	c.endOtherIncarnations(w, now)
-	c.settleLost(w, now)
+	c.settleLostIncarnation(w, now)
 	fresh := w.recordClock(reply.ClockMS, now)
 	c.processEnds(w, reply.Ended, now)
 	if fresh {
--- a/dispatch/polls_test.go
+++ b/dispatch/polls_test.go
@@ -50,7 +50,7 @@
 		}
 		if due == 0 {
 			plan := core.PlanPoll("w1", now)
-			sent, due = plan.Order, now.Steady+max(takes, plan.Order.Wait)
+			sent, due = plan.Request, now.Steady+max(takes, plan.Request.Wait)
 		}
 		if (now.Steady-began)%(100*time.Millisecond) == 0 {
 			core.Tick(now)
@@ -76,8 +76,8 @@
 			now.Steady += plan.Pause
 			continue
 		}
-		now.Steady += time.Millisecond + plan.Order.Wait
-		now.Steady += core.PollDone(plan.Order, PollReply{}, OutcomeOK, now)
+		now.Steady += time.Millisecond + plan.Request.Wait
+		now.Steady += core.PollDone(plan.Request, PollReply{}, OutcomeOK, now)
 	}
 	if polls > 500 {
 		t.Errorf("%d polls in 10 s", polls)
--- a/dispatch/reach.go
+++ b/dispatch/reach.go
@@ -49,7 +49,7 @@
 func (r *reach) invalidate() { r.known = false }
 
 // remove takes a worker out of the counts.
-func (r *reach) exclude(w *worker) { r.counts[w.contactAt(r.at)]-- }
+func (r *reach) remove(w *worker) { r.counts[w.contactAt(r.at)]-- }
 
 // reachAt returns the counts for the present time.
 func (c *Core) reachAt(now Instant) *reach {
@@ -58,9 +58,9 @@
 		return r
 	}
 	*r = reach{known: true, at: now.Steady}
-	for _, w := range c.order {
+	for _, w := range c.sortedWorkers {
 		r.counts[w.contactAt(r.at)]++
-		c.work.reachChecks++
+		c.checkCounts.reachChecks++
 	}
 	return r
 }
@@ -70,6 +70,6 @@
 // owner's side, or so large that the list entries of those workers will expire.
 func (c *Core) reachesOthers(w *worker, now Instant) bool {
 	others := *c.reachAt(now)
-	others.exclude(w)
+	others.remove(w)
 	return others.counts[contactReached] >= others.counts[contactSilent]
 }
--- a/dispatch/recent_run_lease_test.go
+++ b/dispatch/recent_run_lease_test.go
@@ -24,17 +24,17 @@
 		began := now.Steady
 		now.Steady += since // until then the polling loop pauses
 		plan := core.PlanPoll("w0", now)
-		now.Steady += plan.Order.Wait + callTimeout
-		now.Steady += core.PollDone(plan.Order, PollReply{}, OutcomeUnknown, now)
+		now.Steady += plan.Request.Wait + callTimeout
+		now.Steady += core.PollDone(plan.Request, PollReply{}, OutcomeUnknown, now)
 		for range 2 { // one may only ask for lists
 			plan = core.PlanPoll("w0", now)
 			reply := PollReply{ClockMS: 1000 + (now.Steady - began).Milliseconds(), Running: []RunningTask{{Task: list[0].Task, Run: list[0].Run, Percent: 100}}}
-			if plan.Order.DeadlineMS > 0 {
+			if plan.Request.DeadlineMS > 0 {
 				break
 			}
-			now.Steady += core.PollDone(plan.Order, reply, OutcomeOK, now)
+			now.Steady += core.PollDone(plan.Request, reply, OutcomeOK, now)
 		}
-		if at := 1000 + (now.Steady - began).Milliseconds(); plan.Order.DeadlineMS == 0 || at >= list[0].DeadlineMS {
+		if at := 1000 + (now.Steady - began).Milliseconds(); plan.Request.DeadlineMS == 0 || at >= list[0].DeadlineMS {
 			t.Errorf("polled %s after the start: at %d of the worker's clock the lease is not renewed, and it ends at %d", since, at, list[0].DeadlineMS)
 		}
 	}
--- a/dispatch/recover.go
+++ b/dispatch/recover.go
@@ -95,7 +95,7 @@
 	default:
 		c.trace(Decision{Event: "recovery_partly_done", Worker: id, Reason: reason + "; tasks that may run at silent workers still wait"})
 	}
-	c.unknown = true
+	c.unknownPending = true
 	c.settleUnknown(now)
 }
 
@@ -104,8 +104,8 @@
 // workers still wait. Like every conclusion from silence or from the end of an
 // incarnation, this requires a lease that is held for certain.
 func (c *Core) settleUnknown(now Instant) {
-	if c.unknown && c.openUnresolved == 0 && c.holdsLease(now) {
-		c.unknown = false
+	if c.unknownPending && c.openUnresolved == 0 && c.holdsLease(now) {
+		c.unknownPending = false
 		c.releaseUnknown(now)
 	}
 }
--- a/dispatch/recover_test.go
+++ b/dispatch/recover_test.go
@@ -213,7 +213,7 @@
 			core.AddJob(ended, &job.Progress{State: job.Cancelled}, true, now)
 		}
 		core.AddJob(simpleJob(2, 4), nil, true, now) // 4 times 500 of 16000
-		order := core.PlanPoll("w1", now).Order
+		order := core.PlanPoll("w1", now).Request
 		row := RunningTask{Task: job.TaskID{Job: ended.ID}, Run: 7}
 		core.PollDone(order, PollReply{ClockMS: 1000, Running: []RunningTask{row}}, OutcomeOK, now)
 		rosterOf(t, core)
@@ -233,7 +233,7 @@
 // failedRun has a worker list the failed end of a run, as its first end.
 func failedRun(core *Core, id WorkerID, task job.TaskID, run uint64, now Instant) {
 	end := EndedTask{Number: 1, Task: task, Run: run, Kind: EndFailed}
-	core.PollDone(core.PlanPoll(id, now).Order, PollReply{ClockMS: now.Steady.Milliseconds(), Ended: []EndedTask{end}}, OutcomeOK, now)
+	core.PollDone(core.PlanPoll(id, now).Request, PollReply{ClockMS: now.Steady.Milliseconds(), Ended: []EndedTask{end}}, OutcomeOK, now)
 }
 
 // A task failed at w1, and its second run is running at w2 when the owner dies before either is
@@ -253,7 +253,7 @@
 			poll(core, "w3", now.Steady, now.Steady+time.Millisecond)
 			id := job.TaskID{Job: spec.ID}
 			listed := []RunningTask{{Task: id, Run: 8, Percent: 50}}
-			core.PollDone(core.PlanPoll("w2", now).Order, PollReply{ClockMS: 1000, Running: listed}, OutcomeOK, now)
+			core.PollDone(core.PlanPoll("w2", now).Request, PollReply{ClockMS: 1000, Running: listed}, OutcomeOK, now)
 			now.Steady += 50 * time.Millisecond
 			failedRun(core, "w2", id, 8, now)
 
@@ -285,7 +285,7 @@
 	core.AddJob(spec, nil, true, now)
 	id := job.TaskID{Job: spec.ID}
 	listed := []RunningTask{{Task: id, Run: 8, Percent: 50}}
-	core.PollDone(core.PlanPoll("w2", now).Order, PollReply{ClockMS: 1000, Running: listed}, OutcomeOK, now)
+	core.PollDone(core.PlanPoll("w2", now).Request, PollReply{ClockMS: 1000, Running: listed}, OutcomeOK, now)
 	now.Steady += 50 * time.Millisecond
 	failedRun(core, "w2", id, 8, now)
 	now.Steady += 2 * retryDelay
@@ -304,7 +304,7 @@
 	core.RecoverUnknown(now)
 	core.SetWorkers([]WorkerInfo{{ID: "w1", Address: "a", Service: "svc", CPUMilli: 4000, MemoryMiB: 4000}}, now)
 	storeRoster(t, core)
-	core.PollDone(core.PlanPoll("w1", now).Order, PollReply{ClockMS: 500_000}, OutcomeOK, now)
+	core.PollDone(core.PlanPoll("w1", now).Request, PollReply{ClockMS: 500_000}, OutcomeOK, now)
 	core.AddJob(simpleJob(1, 1), nil, true, now)
 	core.AddJob(simpleJob(2, 1), nil, false, now)
 	core.Tick(now)
--- a/dispatch/reread_test.go
+++ b/dispatch/reread_test.go
@@ -17,7 +17,7 @@
 		t.Fatalf("%d starts", len(list))
 	}
 	end := EndedTask{Number: 1, Task: list[0].Task, Run: list[0].Run, Kind: EndDone}
-	core.PollDone(core.PlanPoll("w0", now).Order, PollReply{ClockMS: 1100, Ended: []EndedTask{end}}, OutcomeOK, now)
+	core.PollDone(core.PlanPoll("w0", now).Request, PollReply{ClockMS: 1100, Ended: []EndedTask{end}}, OutcomeOK, now)
 	records, err := core.Records(9)
 	if err != nil {
 		t.Fatal(err)
--- a/dispatch/reserved.go
+++ b/dispatch/reserved.go
@@ -99,7 +99,7 @@
 		k.need = 0
 	}
 	chosen := k.pick(pool, int64(maxReservedShare*float64(size)))
-	for _, w := range c.members[service] {
+	for _, w := range c.workersByService[service] {
 		if w.isReserved && !chosen[w] {
 			c.refusals.noteChange(w, false)
 		}
--- a/dispatch/restart_test.go
+++ b/dispatch/restart_test.go
@@ -60,9 +60,9 @@
 		if !plan.Send {
 			continue
 		}
-		orders = append(orders, plan.Order)
+		orders = append(orders, plan.Request)
 		x.pass(startGap)
-		x.core.PollDone(plan.Order, PollReply{ClockMS: x.clock, Born: x.incarnation.Born(), Running: running, Ended: ended}, OutcomeOK, x.now)
+		x.core.PollDone(plan.Request, PollReply{ClockMS: x.clock, Born: x.incarnation.Born(), Running: running, Ended: ended}, OutcomeOK, x.now)
 	}
 	return orders
 }
@@ -355,7 +355,7 @@
 	if x.core.Deposed() {
 		t.Error("the refusal of this owner's own order ended the term")
 	}
-	order := x.core.PlanPoll(x.incarnation, x.now).Order
+	order := x.core.PlanPoll(x.incarnation, x.now).Request
 	x.core.PollDone(order, PollReply{}, OutcomeFenced, x.now)
 	if !x.core.Deposed() {
 		t.Error("a higher term did not end this one")
@@ -391,7 +391,7 @@
 		x.pollAll(rowsOf(starts))
 		x.pollAll(nil, endsOf(starts)...)
 		x.persist()
-		order := x.core.PlanPoll(x.incarnation, x.now).Order
+		order := x.core.PlanPoll(x.incarnation, x.now).Request
 		if order.Seen != 2 || order.Wait != 0 {
 			t.Fatalf("ends are acknowledged by %+v, want in a poll that does not wait", order)
 		}
@@ -431,7 +431,7 @@
 	for x.now.Steady < sent+20*time.Second {
 		x.pass(200 * time.Millisecond)
 		if plan := x.core.PlanPoll(x.core.Workers()[0], x.now); plan.Send {
-			x.core.PollDone(plan.Order, PollReply{}, OutcomeUnknown, x.now)
+			x.core.PollDone(plan.Request, PollReply{}, OutcomeUnknown, x.now)
 		}
 		x.core.Tick(x.now)
 		for _, o := range slices.Concat(listed, unlisted) {
--- a/dispatch/roster.go
+++ b/dispatch/roster.go
@@ -120,7 +120,7 @@
 // since any of them may have been started there: ten seconds in 2 of 27 takeovers of a day
 // with rolling restarts.
 func (c *Core) updateClosed() {
-	for _, w := range c.order {
+	for _, w := range c.sortedWorkers {
 		e, ok := c.roster.entries[w.info.ID]
 		if _, waits := c.unresolved[w.info.ID]; !ok || waits {
 			continue // what the previous owner started there is not known yet
--- a/dispatch/silence.go
+++ b/dispatch/silence.go
@@ -23,7 +23,7 @@
 	}
 	if !w.listed && len(w.attempts) == 0 && len(w.ends) == 0 && w.unreached() {
 		if _, wait := c.unresolved[w.info.ID]; !wait {
-			c.forget(w, "not listed, silent and without tasks")
+			c.forgetWorker(w, "not listed, silent and without tasks")
 		}
 	}
 }
@@ -44,7 +44,7 @@
 	l := c.lostIncarnationOf(w, now)
 	c.releaseLost(w, expired, "its leases are over", now)
 	if c.lostIncarnations[w.info.VM].id != w.info.ID { // otherwise its record has these runs already
-		c.keepUnsettled(w.info.VM, l)
+		c.keepLostIncarnation(w.info.VM, l)
 	}
 }
 
@@ -103,7 +103,7 @@
 	}
 	c.settleStartsOfIncarnation(w, next, end, now)
 	c.resolve(w.info.ID, reason, now)
-	c.forget(w, reason)
+	c.forgetWorker(w, reason)
 	c.ended[w.info.ID] = true
 }
 
@@ -118,7 +118,7 @@
 		c.logIncarnationEnd(w, l.end, w.recentRuns(), now)
 		return l, true
 	case len(w.attempts) == 0 && found && lost.id == w.info.ID:
-		return c.dropUnsettled(w.info.VM)
+		return c.dropLostIncarnation(w.info.VM)
 	default:
 		return lostIncarnation{}, false
 	}
@@ -129,7 +129,7 @@
 // at a time, and an ended one does not return. An incarnation that became known later may have
 // followed this one while its answer was in flight.
 func (c *Core) endOtherIncarnations(w *worker, now Instant) {
-	if len(c.incarnations[w.info.VM]) < 2 && len(c.incarnationsByName[w.info.ID.Name()].incarnations) < 2 {
+	if len(c.workersByVM[w.info.VM]) < 2 && len(c.incarnationsByName[w.info.ID.Name()].incarnations) < 2 {
 		return
 	}
 	for _, other := range c.otherIncarnations(w) {
@@ -141,16 +141,16 @@
 }
 
 // forgetWorker removes a worker from the core.
-func (c *Core) forget(w *worker, reason string) {
+func (c *Core) forgetWorker(w *worker, reason string) {
 	delete(c.workers, w.info.ID)
 	delete(c.unstoredEnds, w)
-	c.reach.exclude(w)
-	c.removeFromName(w)
+	c.reach.remove(w)
+	c.removeIncarnation(w)
 	c.removeFromIndexes(w)
 	w.listed = false // for what still refers to the worker
-	c.incarnations[w.info.VM] = slices.DeleteFunc(c.incarnations[w.info.VM], func(o *worker) bool { return o == w })
-	if len(c.incarnations[w.info.VM]) == 0 {
-		delete(c.incarnations, w.info.VM)
+	c.workersByVM[w.info.VM] = slices.DeleteFunc(c.workersByVM[w.info.VM], func(o *worker) bool { return o == w })
+	if len(c.workersByVM[w.info.VM]) == 0 {
+		delete(c.workersByVM, w.info.VM)
 	}
 	c.roster.drop(w.info.ID)
 	c.trace(Decision{Event: "worker_forgotten", Worker: w.info.ID, Reason: reason})
@@ -158,8 +158,8 @@
 
 // Workers returns the ids of all workers to poll.
 func (c *Core) Workers() []WorkerID {
-	ids := make([]WorkerID, len(c.order))
-	for i, w := range c.order {
+	ids := make([]WorkerID, len(c.sortedWorkers))
+	for i, w := range c.sortedWorkers {
 		ids[i] = w.info.ID
 	}
 	return ids
--- a/dispatch/speed.go
+++ b/dispatch/speed.go
@@ -190,17 +190,17 @@
 
 // slowOf returns the count of a service's slow workers.
 func (c *Core) slowOf(service string, now Instant) *slowCount {
-	n := c.slow[service]
+	n := c.slowCounts[service]
 	if n == nil {
 		n = &slowCount{}
-		c.slow[service] = n
+		c.slowCounts[service] = n
 	}
 	if n.known && now.Steady-n.at < slowCountAge {
 		return n
 	}
 	*n = slowCount{known: true, at: now.Steady}
-	for _, w := range c.members[service] {
-		c.work.slowChecks++
+	for _, w := range c.workersByService[service] {
+		c.checkCounts.slowChecks++
 		if !w.listed {
 			continue
 		}
--- a/dispatch/startrecord.go
+++ b/dispatch/startrecord.go
@@ -42,7 +42,7 @@
 
 // sendRecordedStarts sends the starts whose records the store holds by now. One that has waited longer than
 // startWindow, or whose worker gets no more starts, is released.
-func (c *Core) sendRecorded(now Instant) {
+func (c *Core) sendRecordedStarts(now Instant) {
 	list := c.unsentStarts
 	c.unsentStarts = nil
 	for _, u := range list {
@@ -140,7 +140,7 @@
 // a worker whose incarnation has not ended, or it may have crashed its worker.
 func (c *Core) settleStart(id WorkerID, r recordedStart, now Instant) {
 	t := r.task
-	if t.step.job.progress.State.Final() || t.phase == phaseDone || c.adopted(t, r.run) {
+	if t.step.job.progress.State.Final() || t.phase == phaseDone || c.isCurrentRun(t, r.run) {
 		return
 	}
 	t.previousTermStartKnown = true
@@ -156,7 +156,7 @@
 }
 
 // isCurrentRun reports whether a run is the current one of a task or of its gang.
-func (c *Core) adopted(t *task, run uint64) bool {
+func (c *Core) isCurrentRun(t *task, run uint64) bool {
 	if t.step.spec.Gang {
 		return t.step.gangRun == run
 	}
--- a/dispatch/suspect.go
+++ b/dispatch/suspect.go
@@ -112,7 +112,7 @@
 	c.setCrashes(t, n.All)
 	d := taskDecision("task_suspected", t, nil, r.Run, fmt.Sprintf("its worker crashed at its start, %d times in a row", n.All))
 	d.Worker = l.id
-	d.Detail = fmt.Sprintf("on trial %v, another run began later %v, unconfirmed %v", r.Trial, r.Older, r.Unconfirmed)
+	d.Detail = fmt.Sprintf("on trial %v, another run began later %v, unconfirmed %v", r.Trial, r.Older, r.StartUnconfirmed)
 	c.trace(d)
 	if !r.inconclusive() {
 		c.scheduleComparison(t, vm, l, r)
--- a/dispatch/trial.go
+++ b/dispatch/trial.go
@@ -52,7 +52,7 @@
 }
 
 // remove removes a worker where a suspect is started now.
-func (f *suspectFreePool) exclude(w *worker) {
+func (f *suspectFreePool) remove(w *worker) {
 	f.workers = slices.DeleteFunc(f.workers, func(o *worker) bool { return o == w })
 	f.racks[w.info.Rack] = true
 }
@@ -76,7 +76,7 @@
 		separate = separate && !w.startedRecently(now)
 		c.place(t, w, c.newRun(), now)
 		c.recordSuspectStart(t, separate, now)
-		p.suspectFree(now).exclude(w)
+		p.suspectFree(now).remove(w)
 	}
 }
 
--- a/dispatch/unknown_pace_test.go
+++ b/dispatch/unknown_pace_test.go
@@ -11,7 +11,7 @@
 	var paces []int
 	for at := from; at < to; at += 200 * time.Millisecond {
 		now := Instant{Steady: at}
-		order := core.PlanPoll("w1", now).Order
+		order := core.PlanPoll("w1", now).Request
 		core.PollDone(order, PollReply{ClockMS: at.Milliseconds(), Running: []RunningTask{row}}, OutcomeOK, now)
 		core.Tick(now)
 		for _, o := range core.TakeOrders() {
@@ -35,7 +35,7 @@
 	core.AddJob(spec, nil, true, now)
 	work := core.jobs[spec.ID].steps[0].tasks[0]
 	row := RunningTask{Task: work.id(), Run: 1<<runBits | 1}
-	core.PollDone(core.PlanPoll("w1", now).Order, PollReply{ClockMS: now.Steady.Milliseconds(), Running: []RunningTask{row}}, OutcomeOK, now)
+	core.PollDone(core.PlanPoll("w1", now).Request, PollReply{ClockMS: now.Steady.Milliseconds(), Running: []RunningTask{row}}, OutcomeOK, now)
 	if work.attempt == nil {
 		t.Fatal("the run is not adopted")
 	}
--- a/dispatch/unread.go
+++ b/dispatch/unread.go
@@ -42,7 +42,7 @@
 
 // recordUnreadLoss records what may have run at a worker that was lost before its lists were read.
 func (c *Core) recordUnreadLoss(u unresolvedWorker) {
-	c.lostInTerm.add(u)
+	c.unreadInTerm.add(u)
 	c.lostUnread.add(u)
 	c.unreadStale = true
 }
@@ -51,8 +51,8 @@
 // previous owner is awaited and each task with a possible crash has outlived a start since.
 // Until then the record is kept: owners may end before such a task is started again.
 func (c *Core) forgetUnread() {
-	if len(c.unresolved) == 0 && !c.unknown && c.possibleCrashTasks == 0 && !c.lostUnread.none() {
-		c.lostUnread, c.lostInTerm = unreadTasks{}, unreadTasks{}
+	if len(c.unresolved) == 0 && !c.unknownPending && c.possibleCrashTasks == 0 && !c.lostUnread.none() {
+		c.lostUnread, c.unreadInTerm = unreadTasks{}, unreadTasks{}
 		c.unreadStale = true
 	}
 }
--- a/dispatch/worker.go
+++ b/dispatch/worker.go
@@ -97,7 +97,7 @@
 	pollSent                time.Duration // when the newest poll was sent
 	answeredPollSent        time.Duration // when the newest poll with an answer was sent
 	failedPollSent          time.Duration // when the newest poll without an answer was sent
-	strikes                 int           // times it was avoided, less one for each task done; each doubles the next pause
+	avoidStrikes            int           // times it was avoided, less one for each task done; each doubles the next pause
 	failStreak              int           // failures in a row, each of another task
 	avoidUntil              time.Duration // until then it gets no tasks: its tasks fail, or it refuses work
 	fullUntil               time.Duration // until then it gets no tasks: it had no capacity, or a suspect is on trial there
@@ -117,7 +117,7 @@
 	overTarget              time.Duration // how long a task was over its target, by the newest list
 	paceScale               float64       // factor on the paces of its fill tasks, up to 1
 	recorded                bool          // the stored roster has an open entry of it; see roster
-	gates                   gates         // as of the latest pass
+	placementBlocks         gates         // as of the latest pass
 }
 
 // resources is an amount of a worker's capacity that tasks use.
@@ -134,9 +134,9 @@
 // unexpectedRun is a listed run that the owner did not expect. The owner stops it, and
 // repeats the stop at nextStopAt.
 type unexpectedRun struct {
-	run    uint64
-	askAt  time.Duration
-	amount resources
+	run        uint64
+	nextStopAt time.Duration
+	amount     resources
 	// unsized is set if the run's size is not known: until the run is stopped, the
 	// worker counts as full.
 	unsized bool
