--- a/router/bench_test.go
+++ b/router/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// BenchmarkChoice is one choice of an endpoint, half of the slots in use.
+// BenchmarkChoice measures one choice of an endpoint with half of the slots in use.
 func BenchmarkChoice(b *testing.B) {
 	for _, n := range []int{65, 250, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/router/outcome.go
+++ b/router/outcome.go
@@ -6,7 +6,7 @@
 	"leverstile.dev/api/result"
 )
 
-// Finish takes the end of a request's attempt.
+// Finish processes the end of a request's attempt.
 func (t *Table) Finish(now time.Duration, id uint64, o Outcome) []Action {
 	f := t.requests[id]
 	if f == nil || f.endpoint == nil {
@@ -25,7 +25,7 @@
 	return t.take()
 }
 
-// judge updates what is known of the endpoint.
+// updateEndpoint records what an outcome shows about its endpoint.
 func (t *Table) judge(now time.Duration, e *endpoint, o Outcome) {
 	switch o.Kind {
 	case Answered:
@@ -34,11 +34,11 @@
 		e.latency = mix(e.latency, o.Latency)
 		t.latency = mix(t.latency, o.Latency)
 	case Refused:
-		// Refusing shows that it lives; it is only full for a moment.
+		// A refusal shows that the endpoint is alive; it is only full for a short time.
 		e.fullUntil = now + fullFor
 		t.limit.refused(t.inFlight+1, t.evenPart())
 	case Leaving:
-		// Remembered by VM, as the list may drop the endpoint and bring it back.
+		// Recorded by VM, as the endpoint may leave the list and be listed again.
 		e.leaving = true
 		t.leaving[e.VM] = true
 		t.usableUntil = 0
@@ -51,7 +51,7 @@
 	}
 }
 
-// evenPart is this entry's part of all slots if entries had the same load.
+// evenShare is this entry's share of all slots if all entries had the same load.
 func (t *Table) evenPart() float64 {
 	return float64(t.params.Slots*len(t.endpoints)) / float64(max(t.params.Entries, 1))
 }
@@ -60,16 +60,16 @@
 	return mean + time.Duration(latencyWeight*float64(sample-mean))
 }
 
-// eject leaves an endpoint out for a while, unless too many are out already:
-// then the fault is likely not theirs.
+// eject stops sending to an endpoint for some time, unless too many are ejected
+// already: then the cause is probably not the endpoints.
 func (t *Table) eject(now time.Duration, e *endpoint) {
-	out := 0
+	ejected := 0
 	for _, o := range t.endpoints {
 		if now < o.ejectedUntil {
-			out++
+			ejected++
 		}
 	}
-	if float64(out+1) > maxEjected*float64(len(t.endpoints)) {
+	if float64(ejected+1) > maxEjected*float64(len(t.endpoints)) {
 		return
 	}
 	e.ejectFor = min(max(2*e.ejectFor, ejectBase), ejectMax)
@@ -79,7 +79,7 @@
 	t.Stats.Ejected++
 }
 
-// conclude ends the request or tries it again.
+// endOrRetry ends the request, retries it or queues it again.
 func (t *Table) conclude(now time.Duration, f *flight, e *endpoint, o Outcome) {
 	notRun := o.Kind == Refused || o.Kind == Unsent || o.Kind == Leaving
 	f.mayHaveRun = f.mayHaveRun || !notRun
@@ -97,14 +97,14 @@
 	}
 }
 
-// mayWait reports whether a request that an endpoint refused for want of a slot
-// waits here for another one. That costs no retry: the endpoint lives, nothing
-// ran, and the concurrency limit sees to it that it doesn't become a storm.
+// mayRequeue reports whether a request that an endpoint refused for lack of a
+// slot is queued for another endpoint. That uses no retry budget: the endpoint
+// is alive, nothing ran, and the concurrency limit prevents a retry storm.
 func (t *Table) mayWait(now time.Duration, f *flight) bool {
 	return !f.Once && f.refusals < maxRefusals && now < f.Deadline
 }
 
-// maxRefusals bounds how often one request is refused for want of a slot.
+// maxRefusals bounds how often one request is refused for lack of a slot.
 const maxRefusals = 16
 
 func (t *Table) wait(now time.Duration, f *flight, e *endpoint) {
@@ -115,20 +115,20 @@
 	t.queue.pushFront(f)
 }
 
-// refusalPause bounds the jitter before a refused request is sent elsewhere.
+// maxRequeueDelay bounds the jitter before a refused request is sent elsewhere.
 const refusalPause = 4 * time.Millisecond
 
 func (t *Table) mayRetry(now time.Duration, f *flight) bool {
 	return !f.Once && f.attempt < t.params.Attempts && t.budget >= 1 && now < f.Deadline
 }
 
-func (t *Table) giveUp(f *flight, k Kind, notRun bool) {
+func (t *Table) giveUp(f *flight, kind Kind, notRun bool) {
 	if !notRun {
 		t.fail(f, result.AnswerLost)
 		return
 	}
 	code := result.EndpointRefused
-	if k == Unsent {
+	if kind == Unsent {
 		code = result.EndpointDown
 	}
 	if f.attempt > 1 {
--- a/router/policy.go
+++ b/router/policy.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Policy chooses an endpoint with room for one more request, other than those
-// tried before. It returns nil if there is none, and how many it looked at.
-// Implementations must not change the table.
+// Policy chooses an endpoint with capacity for one more request, excluding those
+// tried before. Pick returns nil if there is none, and the number of candidates
+// considered. Implementations must not change the table.
 type Policy interface {
 	Name() string
 	Pick(t *Table, now time.Duration, tried []*endpoint) (*endpoint, int)
 }
 
 // DefaultPolicy returns the policy in use; docs/design/endpoint-choice.md has
-// the measurements that chose it.
+// the measurements behind the choice.
 func DefaultPolicy() Policy { return &LeastLoaded{OwnOnly: true} }
 
 func wasTried(e *endpoint, tried []*endpoint) bool {
@@ -23,7 +23,7 @@
 	return false
 }
 
-// Random takes any endpoint with room.
+// Random takes any endpoint with capacity.
 type Random struct{}
 
 // Name implements Policy.
@@ -65,7 +65,7 @@
 }
 
 // TwoChoices takes the less loaded of two random endpoints (Mitzenmacher 2001).
-// With OwnOnly peers' reports are left out.
+// OwnOnly ignores the load that peers report.
 type TwoChoices struct{ OwnOnly bool }
 
 // Name implements Policy.
@@ -76,8 +76,8 @@
 	return "two-choices-peers"
 }
 
-// choiceTries bounds the draws for an endpoint with room before all are
-// looked at.
+// maxDraws bounds the random draws for an endpoint with capacity before all
+// endpoints are checked.
 const choiceTries = 4
 
 // Pick implements Policy.
@@ -115,12 +115,13 @@
 	return e
 }
 
-// LeastLoaded looks at all endpoints, or a random run of sampleSize where there
-// are many more, and takes the one where a request is expected to end first: by load of this entry and its peers, and by the
-// endpoint's mean latency. Endpoints of the own place win while they have room
-// to spare.
+// LeastLoaded compares all endpoints, or a random contiguous sample of sampleSize
+// if there are more than twice as many, and takes the one where a request is
+// expected to end first: by the load of this entry and its peers, and by the
+// endpoint's mean latency. Endpoints of the entry's own place are preferred while
+// they have spare capacity.
 type LeastLoaded struct {
-	// OwnOnly leaves out peers' reports, Blind the latency.
+	// OwnOnly ignores peers' reports, IgnoreLatency the endpoints' latency.
 	OwnOnly bool
 	Blind   bool
 }
@@ -137,12 +138,12 @@
 	}
 }
 
-// awayPenalty is the extra cost of an endpoint in another place, as a part of
-// the slots: the own place is preferred until it is that much busier.
+// remotePlacePenalty is the extra cost of an endpoint in another place, as a
+// fraction of the slots: the own place is preferred until it is that much busier.
 const awayPenalty = 0.5
 
-// sampleSize bounds the endpoints with room that are compared where there are
-// more than twice as many, so that a choice costs the same at any size.
+// sampleSize bounds the endpoints with capacity that are compared where there
+// are more than twice as many, so that a choice costs the same at any size.
 const sampleSize = 48
 
 // Pick implements Policy.
@@ -153,7 +154,7 @@
 	if n > 2*sampleSize {
 		at = t.rng.IntN(n)
 	}
-	for looked := 0; looked < n && (n <= 2*sampleSize || seen < sampleSize); looked++ {
+	for scanned := 0; scanned < n && (n <= 2*sampleSize || seen < sampleSize); scanned++ {
 		e := t.endpoints[at]
 		if at++; at == n {
 			at = 0
@@ -167,8 +168,8 @@
 		case best == nil || cost < bestCost:
 			best, bestCost, ties = e, cost, 1
 		case cost == bestCost:
-			// Each of the equal ones is taken with the same probability, so that
-			// entries with the same view don't all choose the same endpoint.
+			// Each of the endpoints with equal cost is taken with the same probability,
+			// so that entries with the same view don't all choose the same one.
 			ties++
 			if t.rng.IntN(ties) == 0 {
 				best = e
@@ -193,6 +194,6 @@
 	return cost
 }
 
-// slowFloor: endpoints are only told apart by latency where one is clearly
-// slower than the mean; noise must not steer.
+// latencyFloor is the latency below which endpoints are treated alike: latency
+// counts only where it is clearly above the mean, so that noise has no influence.
 func slowFloor(t *Table) time.Duration { return t.latency * 3 / 2 }
--- a/router/queue.go
+++ b/router/queue.go
@@ -3,7 +3,7 @@
 import "time"
 
 // queue holds waiting requests: classes in strict order, groups of a class in
-// turn, requests of a group first come first served.
+// round-robin order, requests of a group first come first served.
 type queue struct {
 	classes [numClasses]classQueue
 	size    int
@@ -11,7 +11,7 @@
 
 type classQueue struct {
 	groups map[string]*groupQueue
-	turn   []*groupQueue // groups with waiting requests, next first
+	turn   []*groupQueue // groups with waiting requests, in round-robin order
 	size   int
 }
 
@@ -22,7 +22,7 @@
 
 func (q *queue) len() int { return q.size }
 
-// ahead counts the requests that would go before a new one of class c.
+// ahead counts the waiting requests that precede a new one of class c.
 func (q *queue) ahead(c Class) int {
 	n := 0
 	for i := LatencyCritical; i <= c; i++ {
@@ -51,7 +51,7 @@
 	q.added(f)
 }
 
-// pushFront puts a request that is tried again before the others of its group.
+// pushFront puts a request that is retried before the others of its group.
 func (q *queue) pushFront(f *flight) {
 	g := q.group(f)
 	g.waiting = append(g.waiting, nil)
@@ -66,7 +66,7 @@
 	q.size++
 }
 
-// next returns the request to send next at now, without taking it.
+// next returns the request to send next at now, without removing it.
 func (q *queue) next(now time.Duration) *flight {
 	for i := range q.classes {
 		for _, g := range q.classes[i].turn {
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// remove takes a request out. Its group goes to the end of the turn.
+// remove removes a request. Its group moves to the end of the round-robin order.
 func (q *queue) remove(f *flight) {
 	if !f.queued {
 		return
@@ -113,9 +113,10 @@
 	c.turn = append(c.turn, g)
 }
 
-// shed returns the request to give up for a new one: the newest of the longest
-// group of the lowest class below its own, or of its own class where another
-// group has more waiting than the new one's. It returns nil if there is none.
+// shed returns the request to drop in favour of a new one: the newest of the
+// longest group of the lowest class below its own, or of its own class if another
+// group has more requests waiting than the new one's group. It returns nil if
+// there is none.
 func (q *queue) shed(f *flight) *flight {
 	for i := numClasses - 1; i > f.Class; i-- {
 		if g := q.classes[i].longest(); g != nil {
@@ -145,7 +146,7 @@
 
 func (g *groupQueue) newest() *flight { return g.waiting[len(g.waiting)-1] }
 
-// each calls fn for all waiting requests; fn may remove the one it is given.
+// each calls fn for all waiting requests; fn may remove the request it is given.
 func (q *queue) each(fn func(*flight)) {
 	if q.size == 0 {
 		return
--- a/router/replay/central.go
+++ b/router/replay/central.go
@@ -9,9 +9,10 @@
 	"leverstile.dev/api/result"
 )
 
-// Central replays a trace with one queue that sees everything: a request takes
-// the free slot of the fastest endpoint the moment there is one. No policy of
-// several entries can know that much; it is the mark to measure against.
+// Central replays a trace with one queue that knows the state of all endpoints:
+// a request takes a free slot of the fastest endpoint as soon as there is one. No
+// policy of several entries has that information; the result is the reference
+// for them.
 func Central(t *Trace) Outcome {
 	c := &central{player: &player{trace: t, all: hdrhistogram.New(1, 100_000_000, 3)}}
 	c.out = Outcome{Policy: "all-seeing", Refused: map[result.Code]int{}}
--- a/router/replay/generate_test.go
+++ b/router/replay/generate_test.go
@@ -13,9 +13,9 @@
 	"leverstile.dev/router"
 )
 
-var write = flag.Bool("write", false, "record the traces in testdata anew")
+var write = flag.Bool("write", false, "generate the traces in testdata again")
 
-// The traces are recorded from fixed seeds: Poisson arrivals, log-normal
+// The traces are generated from fixed seeds: Poisson arrivals, log-normal
 // service times with a mean of 60 ms.
 const (
 	traceEntries   = 8
@@ -32,7 +32,7 @@
 	lines []Line
 }
 
-// rate is the load at a time, as a part of all slots.
+// arrivals adds the arrivals of a group; load is a fraction of all slots.
 func (r *recorder) arrivals(fromMS, toMS, group int, load func(ms int) float64) {
 	capacity := float64(traceEndpoints*traceSlots) / (meanServiceUS / 1e6)
 	for at := float64(fromMS) * 1000; ; {
@@ -89,17 +89,18 @@
 	},
 }
 
+// TestRecord generates the traces; it checks nothing.
 func TestRecord(t *testing.T) {
 	if !*write {
-		t.Skip("-write records the traces anew")
+		t.Skip("-write generates the traces again")
 	}
 	seed := uint64(1)
-	for name, fill := range scenarios {
+	for name, build := range scenarios {
 		r := &recorder{rng: rand.New(rand.NewPCG(seed, uint64(len(name))))}
 		for ms := 0; ms < 2*traceMS; ms += lineMS {
 			r.lines = append(r.lines, Line{AtMS: ms})
 		}
-		fill(r)
+		build(r)
 		writeTrace(t, name, r.lines)
 	}
 }
--- a/router/replay/replay.go
+++ b/router/replay/replay.go
@@ -1,6 +1,6 @@
-// Package replay plays recorded arrivals and endpoint faults against routing
-// tables, one per entry, in a time of its own, and measures what callers see.
-// It has no network and no processes: it is the events of a trace in order.
+// Package replay simulates recorded arrivals and endpoint faults against routing
+// tables, one per entry, in virtual time, and measures what callers see. It uses
+// no network and no processes: it runs the events of a trace in order.
 package replay
 
 import (
@@ -32,18 +32,18 @@
 	Class router.Class `json:"class"`
 }
 
-// Line is one further line: what happens from AtMS on.
+// Line is a further line of a trace: arrivals and faults from AtMS on.
 type Line struct {
 	AtMS int `json:"at_ms"`
-	// Arrivals are offset in us, service time in us when undisturbed, and group.
+	// Arrivals hold an offset in us, the undisturbed service time in us, and a group.
 	Arrivals [][3]int `json:"arrivals,omitempty"`
 	Faults   []Fault  `json:"faults,omitempty"`
 }
 
-// Fault changes an endpoint from the line's time on.
+// Fault changes the state of an endpoint from the line's time on.
 type Fault struct {
 	Endpoint int `json:"endpoint"`
-	// Slow multiplies service times; zero means one.
+	// Slow multiplies service times; values below one count as one.
 	Slow float64 `json:"slow,omitempty"`
 	// Down refuses connections, Leaving refuses requests as not begun.
 	Down    bool `json:"down,omitempty"`
@@ -56,41 +56,41 @@
 	Lines []Line
 }
 
-// Outcome is what a replay measured. Latencies are from the first arrival of a
-// request, repeats by its caller included.
+// Outcome is what a replay measured. Latencies run from the first arrival of a
+// request and include the caller's retries.
 type Outcome struct {
 	Policy   string
 	Asked    int
 	Answered int
 	Refused  map[result.Code]int
-	// Failed ended with an unknown outcome.
+	// Failed counts requests that ended with an unknown outcome.
 	Failed     int
 	P50, P99   time.Duration
 	P999       time.Duration
-	Retries    float64 // by request
+	Retries    float64 // per request
 	Overshoot  int     // sent to an endpoint whose slots were all in use
 	ByGroup    map[string]GroupOutcome
 	AfterLeave int // sent to an endpoint more than 3 s after it began to leave
 }
 
-// GroupOutcome is a group's part.
+// GroupOutcome is the outcome of one group.
 type GroupOutcome struct {
 	Asked, Answered int
 	P99             time.Duration
 }
 
-// Goodput is the part of requests that were answered.
+// Goodput is the fraction of requests that were answered.
 func (o Outcome) Goodput() float64 { return float64(o.Answered) / float64(max(o.Asked, 1)) }
 
 const (
-	// hop is the one-way delay between an entry and an endpoint.
+	// networkDelay is the one-way delay between an entry and an endpoint.
 	hop = 500 * time.Microsecond
-	// exchangeEvery is how often entries tell each other their load.
+	// exchangeEvery is how often entries report their load to each other.
 	exchangeEvery = 500 * time.Millisecond
 	tickEvery     = 5 * time.Millisecond
-	// comebacks is how often a refused caller asks again.
+	// maxCallerRetries is how often a refused caller sends its request again.
 	comebacks = 1
-	// leaveLimit is the time after which a leaving endpoint gets nothing new.
+	// leaveLimit is the time after which a leaving endpoint must get no requests.
 	leaveLimit = 3 * time.Second
 )
 
@@ -100,7 +100,7 @@
 	fn  func()
 }
 
-// events is a heap (container/heap) by time, then by order of entry.
+// events is a heap (container/heap) ordered by time, then by insertion.
 type events []event
 
 func (h events) Len() int { return len(h) }
@@ -135,6 +135,7 @@
 	endpoint int
 }
 
+// player simulates one trace in virtual time.
 type player struct {
 	trace     *Trace
 	now       time.Duration
@@ -151,8 +152,8 @@
 	byGroup   []*hdrhistogram.Histogram
 }
 
-// Play replays a trace with tables that use the policies of newPolicy. share
-// has entries exchange their load.
+// Play replays a trace with tables that use the policies of newPolicy. With
+// share the entries exchange their load.
 func Play(t *Trace, newPolicy func() router.Policy, share bool) Outcome {
 	p := &player{trace: t, index: map[string]int{}, requests: map[uint64]*request{}, all: hdrhistogram.New(1, 100_000_000, 3)}
 	p.out = Outcome{Policy: newPolicy().Name(), Refused: map[result.Code]int{}, ByGroup: map[string]GroupOutcome{}}
@@ -239,7 +240,7 @@
 	e.slow, e.down, e.leaving = max(f.Slow, 1), f.Down, f.Leaving
 }
 
-// exchange tells all other entries the load of entry e.
+// exchange reports the load of entry e to all other entries.
 func (p *player) exchange(e int) {
 	load := p.tables[e].Load()
 	for o, t := range p.tables {
@@ -260,7 +261,7 @@
 	}))
 }
 
-// take carries out a table's actions.
+// apply carries out a table's actions.
 func (p *player) take(entry int, actions []router.Action) {
 	for _, a := range actions {
 		r := p.requests[a.Request]
@@ -294,7 +295,7 @@
 	p.out.Refused[a.Code]++
 }
 
-// begin is a request's arrival at its endpoint.
+// reachEndpoint processes a request's arrival at its endpoint.
 func (p *player) begin(entry int, r *request) {
 	e := p.endpoints[r.endpoint]
 	if e.leaving && p.now-e.since > leaveLimit {
--- a/router/replay/traces_test.go
+++ b/router/replay/traces_test.go
@@ -10,14 +10,15 @@
 	"leverstile.dev/trace"
 )
 
-// Want is the stated outcome of a trace, beside it in testdata.
+// Want is the expected outcome of a trace, stored beside it in testdata.
 type Want struct {
-	// GoodputMin and P99MaxMS bound the chosen policy.
+	// GoodputMin and P99MaxMS bound the outcome of the chosen policy.
 	GoodputMin float64 `json:"goodput_min"`
 	P99MaxMS   float64 `json:"p99_max_ms"`
-	// OracleRatioMax bounds its p99 by that of one central queue; zero doesn't.
+	// OracleRatioMax bounds its p99 relative to that of one central queue; zero
+	// means no bound.
 	OracleRatioMax float64 `json:"oracle_ratio_max,omitempty"`
-	// Beats: its p99 is below that of these policies.
+	// Beats lists policies whose p99 must not be below that of the chosen one.
 	Beats []string `json:"beats,omitempty"`
 	// GroupGoodputMin bounds the goodput of single groups.
 	GroupGoodputMin map[string]float64 `json:"group_goodput_min,omitempty"`
@@ -42,7 +43,8 @@
 	{"least-loaded-peers", func() router.Policy { return &router.LeastLoaded{} }, true},
 }
 
-// TestTraces replays each trace with each policy against its stated outcome.
+// TestTraces guards against a routing change that lowers goodput or raises p99:
+// it replays each trace with each policy and compares the expected outcome.
 // With -v it prints the table of docs/MEASUREMENTS.md.
 func TestTraces(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.jsonl")
@@ -95,28 +97,28 @@
 func checkWant(t *testing.T, want Want, outcomes map[string]Outcome, oracle Outcome) {
 	chosen := outcomes["chosen"]
 	if chosen.Goodput() < want.GoodputMin {
-		t.Errorf("goodput %.4f, stated at least %.4f", chosen.Goodput(), want.GoodputMin)
+		t.Errorf("goodput %.4f, expected at least %.4f", chosen.Goodput(), want.GoodputMin)
 	}
 	if ms(chosen.P99) > want.P99MaxMS {
-		t.Errorf("p99 %.1f ms, stated at most %.1f", ms(chosen.P99), want.P99MaxMS)
+		t.Errorf("p99 %.1f ms, expected at most %.1f", ms(chosen.P99), want.P99MaxMS)
 	}
 	if r := ms(chosen.P99) / ms(oracle.P99); want.OracleRatioMax > 0 && r > want.OracleRatioMax {
-		t.Errorf("p99 is %.2f of the all-seeing queue's, stated at most %.2f", r, want.OracleRatioMax)
+		t.Errorf("p99 is %.2f of the central queue's, expected at most %.2f", r, want.OracleRatioMax)
 	}
 	for _, name := range want.Beats {
 		if other, ok := outcomes[name]; ok && chosen.P99 > other.P99 {
 			t.Errorf("p99 %.1f ms, %s has %.1f", ms(chosen.P99), name, ms(other.P99))
 		}
 	}
-	for group, least := range want.GroupGoodputMin {
+	for group, minGoodput := range want.GroupGoodputMin {
 		g := chosen.ByGroup[group]
-		if got := float64(g.Answered) / float64(max(g.Asked, 1)); got < least {
-			t.Errorf("group %s: goodput %.4f, stated at least %.4f", group, got, least)
+		if got := float64(g.Answered) / float64(max(g.Asked, 1)); got < minGoodput {
+			t.Errorf("group %s: goodput %.4f, expected at least %.4f", group, got, minGoodput)
 		}
 	}
-	for group, most := range want.GroupP99MaxMS {
-		if got := ms(chosen.ByGroup[group].P99); got > most {
-			t.Errorf("group %s: p99 %.1f ms, stated at most %.1f", group, got, most)
+	for group, maxP99 := range want.GroupP99MaxMS {
+		if got := ms(chosen.ByGroup[group].P99); got > maxP99 {
+			t.Errorf("group %s: p99 %.1f ms, expected at most %.1f", group, got, maxP99)
 		}
 	}
 	if chosen.AfterLeave > 0 {
@@ -124,7 +126,7 @@
 	}
 }
 
-// load reads a trace and its stated outcome.
+// load reads a trace and its expected outcome.
 func load(t *testing.T, file string) (*Trace, Want) {
 	t.Helper()
 	head, lines, err := trace.ReadFile[Header, Line](file)
--- a/router/router.go
+++ b/router/router.go
@@ -1,6 +1,7 @@
 // Package router chooses endpoints for requests, limits what is sent to them,
-// queues and retries. It is pure: Table is given clock readings and events and
-// returns actions; the caller sends the requests.
+// queues requests and retries them. It does no I/O and reads no clock: Table
+// takes clock readings and events and returns actions; the caller sends the
+// requests.
 package router
 
 import (
@@ -22,47 +23,48 @@
 	numClasses
 )
 
-// Request is a request as the router sees it. Times are clock readings.
+// Request describes a request to be routed. Times are clock readings.
 type Request struct {
 	ID         uint64
 	Group      string
 	Class      Class
 	Repeatable bool
-	// Once: a single attempt, whatever its outcome.
+	// Once limits the request to a single attempt, whatever its outcome.
 	Once     bool
 	Deadline time.Duration
 }
 
-// Endpoint is one endpoint of the service, as the platform's list gives it.
+// Endpoint is one endpoint of the service, as listed by the platform.
 type Endpoint struct {
 	ID    string // address
 	VM    string
 	Place string
 }
 
-// Kind of an Outcome.
+// Kind is the kind of an Outcome.
 type Kind int
 
 // Outcomes of an attempt.
 const (
-	// Answered: a whole answer that isn't a server fault.
+	// Answered means a complete answer that isn't a server fault.
 	Answered Kind = iota
-	// Refused: the endpoint said that it did not begin.
+	// Refused means that the endpoint reported that it did not begin.
 	Refused
-	// Unsent: nothing reached the endpoint.
+	// Unsent means that nothing reached the endpoint.
 	Unsent
-	// Fault: a whole answer with a server fault.
+	// Fault means a complete answer with a server fault.
 	Fault
-	// Lost: sent, and no whole answer came.
+	// Lost means that the request was sent and no complete answer came.
 	Lost
-	// Abandoned: the caller went away; says nothing of the endpoint.
+	// Abandoned means that the caller disconnected; it is no evidence about the
+	// endpoint.
 	Abandoned
-	// Leaving: refused because the endpoint is stopping.
+	// Leaving means that the endpoint refused because it is stopping.
 	Leaving
 )
 
-// Outcome is the end of an attempt. AnswerBegan says that part of an answer
-// has gone to the caller, so that nothing can be tried again.
+// Outcome is the result of an attempt. AnswerBegan is set when part of an answer
+// has reached the caller, so that the request can't be retried.
 type Outcome struct {
 	Kind        Kind
 	Latency     time.Duration
@@ -78,11 +80,11 @@
 	Send ActionKind = iota
 	// Refuse ends the request with a code; it was not run.
 	Refuse
-	// Fail ends the request with a code of another family.
+	// Fail ends the request with a code of another family: it may have run.
 	Fail
 )
 
-// Action is what to do with a request.
+// Action is a step that the caller of Table carries out for a request.
 type Action struct {
 	Kind       ActionKind
 	Request    uint64
@@ -97,7 +99,7 @@
 // Params are the parameters of a service's table.
 type Params struct {
 	Slots int
-	// Place of this entry; its endpoints are preferred while they have room.
+	// Place of this entry; its endpoints are preferred while they have capacity.
 	Place string
 	// Queue bounds the waiting requests of all classes.
 	Queue int
@@ -112,36 +114,39 @@
 }
 
 const (
-	// retryBurst is the most retries saved up, and those available at first.
+	// retryBurst caps the retry budget, which starts full.
 	retryBurst = 10.0
 	// backoffBase and backoffCap bound the full jitter between two attempts.
 	backoffBase = 10 * time.Millisecond
 	backoffCap  = time.Second
-	// fullFor is how long an endpoint that refused is passed over.
+	// fullFor is how long an endpoint that refused a request is skipped.
 	fullFor = 20 * time.Millisecond
-	// ejectAfter faults in a row an endpoint is left out, for ejectBase at
-	// first, doubling up to ejectMax. At most maxEjected of all are out.
+	// After ejectAfter consecutive faults an endpoint gets no requests, for
+	// ejectBase at first, doubling up to ejectMax. At most the fraction
+	// maxEjected of all endpoints is ejected at once.
 	ejectAfter = 3
 	ejectBase  = time.Second
 	ejectMax   = 30 * time.Second
 	maxEjected = 1.0 / 3
-	// latencyWeight is the part of a new sample in the mean latency.
+	// latencyWeight is the weight of a new sample in the mean latency.
 	latencyWeight = 0.1
-	// initialLatency is assumed before the first answer.
+	// initialLatency is the mean latency assumed before the first answer.
 	initialLatency = 20 * time.Millisecond
-	// loadStale is the age at which a peer's reported load counts no more.
+	// loadStale is the age above which a peer's reported load is ignored.
 	loadStale = 2 * time.Second
 )
 
 // endpoint is a row of the table.
 type endpoint struct {
 	Endpoint
-	// own is this entry's requests in flight. Invariant: own <= limit.
+	// own is this entry's requests in flight. Invariant: own <= Params.Slots,
+	// unless Slots was lowered since they were sent.
 	own int
-	// others is what peers report to have in flight, refreshed by SetPeerLoad.
+	// others is the number of requests in flight that peers report, refreshed by
+	// SetPeerLoad.
 	others  int
 	leaving bool
-	// fullUntil: passed over after a refusal.
+	// fullUntil is the time until which the endpoint is skipped after a refusal.
 	fullUntil    time.Duration
 	ejectedUntil time.Duration
 	ejectFor     time.Duration
@@ -149,16 +154,17 @@
 	latency      time.Duration
 }
 
+// trackedRequest is a request that waits or is in flight.
 type flight struct {
 	Request
 	endpoint *endpoint
 	attempt  int
-	// tried endpoints are not tried again while there are others.
+	// tried endpoints are chosen again only if no others are available.
 	tried []*endpoint
-	// mayHaveRun: an attempt was sent and no whole answer came. From then on
-	// the request can't be told that it was not run.
+	// mayHaveRun is set once an attempt was sent and no complete answer came.
+	// From then on the caller must not be told that the request was not run.
 	mayHaveRun bool
-	// notBefore is when a retry may be sent.
+	// notBefore is the earliest time for a retry.
 	notBefore time.Duration
 	refusals  int
 	queued    bool
@@ -171,8 +177,8 @@
 	rng       *rand.Rand
 	endpoints []*endpoint
 	byID      map[string]*endpoint
-	// departed rows are no longer listed but still have requests in flight, which
-	// count again if the endpoint comes back.
+	// departed holds endpoints that are no longer listed but still have requests
+	// in flight; these count again if the endpoint is listed again.
 	departed map[string]*endpoint
 	requests map[uint64]*flight
 	queue    queue
@@ -186,15 +192,15 @@
 	usableCount int
 	usableUntil time.Duration
 
-	// limit is how many requests this entry may have in flight at all
-	// endpoints, learnt from refusals; see limit.go.
+	// limit bounds this entry's requests in flight at all endpoints, adapted to
+	// refusals; see limit.go.
 	limit concurrencyLimit
 
-	// Stats counts since the table was made.
+	// Stats holds counters since the table was created.
 	Stats Stats
 }
 
-// Stats are counters.
+// Stats are the counters of a Table.
 type Stats struct {
 	Arrived, Sent, Retried, Refused, Ejected uint64
 }
@@ -204,7 +210,7 @@
 	counts map[string]int
 }
 
-// New returns an empty table. seed makes its choices repeatable.
+// New returns an empty table. Its random choices are determined by seed.
 func New(params Params, seed uint64) *Table {
 	if params.Policy == nil {
 		params.Policy = DefaultPolicy()
@@ -222,7 +228,7 @@
 	}
 }
 
-// SetParams changes limits; requests under way are not affected.
+// SetParams changes the parameters; requests in progress are not affected.
 func (t *Table) SetParams(p Params) {
 	if p.Policy == nil {
 		p.Policy = t.params.Policy
@@ -267,7 +273,8 @@
 	return t.take()
 }
 
-// comeBack returns the row of an endpoint that is listed anew.
+// restoreEndpoint returns the row of an endpoint that enters the list, reusing
+// its row if requests to it are still in flight.
 func (t *Table) comeBack(e Endpoint) *endpoint {
 	row := t.departed[e.ID]
 	delete(t.departed, e.ID)
@@ -278,7 +285,7 @@
 	return row
 }
 
-// SetLeaving sets the VMs that are leaving. Their endpoints get nothing new.
+// SetLeaving sets the VMs that are leaving. Their endpoints get no new requests.
 func (t *Table) SetLeaving(vms map[string]bool) {
 	t.leaving = map[string]bool{}
 	maps.Copy(t.leaving, vms)
@@ -288,7 +295,7 @@
 	}
 }
 
-// Offers reports whether the endpoint on a VM may get requests.
+// MayServe reports whether an endpoint on a VM may get requests.
 func (t *Table) Offers(vm string) bool {
 	for _, e := range t.endpoints {
 		if e.VM == vm && !e.leaving {
@@ -298,7 +305,7 @@
 	return false
 }
 
-// SetPeerLoad takes over what a peer has in flight, by endpoint id.
+// SetPeerLoad records what a peer has in flight, by endpoint ID.
 func (t *Table) SetPeerLoad(now time.Duration, peer string, counts map[string]int) {
 	t.peers[peer] = peerLoad{now, counts}
 	for _, e := range t.endpoints {
@@ -317,7 +324,7 @@
 	}
 }
 
-// Load returns this entry's requests in flight by endpoint id, without zeros.
+// Load returns this entry's requests in flight by endpoint ID, without zeros.
 func (t *Table) Load() map[string]int {
 	out := map[string]int{}
 	for _, e := range t.endpoints {
@@ -328,8 +335,7 @@
 	return out
 }
 
-// InFlight is the number of requests sent and not ended; Queued of those that
-// wait.
+// InFlight is the number of requests that were sent and have not ended.
 func (t *Table) InFlight() int { return t.inFlight }
 
 // Queued is the number of waiting requests.
@@ -341,7 +347,7 @@
 	return out
 }
 
-// Arrive takes a new request.
+// Arrive admits and dispatches a new request, or refuses it.
 func (t *Table) Arrive(now time.Duration, r Request) []Action {
 	t.Stats.Arrived++
 	t.budget = min(t.budget+t.params.RetryRatio, retryBurst)
@@ -356,7 +362,8 @@
 	return t.take()
 }
 
-// admit refuses a request that would wait in vain.
+// admit refuses a request that can't be answered before its deadline, that has
+// no usable endpoint or for which the queue is full.
 func (t *Table) admit(now time.Duration, f *flight) (result.Code, time.Duration) {
 	usable := t.usable(now)
 	if usable == 0 {
@@ -376,8 +383,8 @@
 	return result.QueueFull, wait
 }
 
-// usable counts the endpoints that aren't leaving or ejected. The count is kept
-// for usableFor, so that its cost doesn't grow with the number of requests.
+// usable counts the endpoints that aren't leaving or ejected. The count is
+// cached for usableFor, so that its cost doesn't grow with the number of requests.
 func (t *Table) usable(now time.Duration) int {
 	if now < t.usableUntil {
 		return t.usableCount
@@ -392,12 +399,13 @@
 	return n
 }
 
-// usableFor is how long a count of usable endpoints is kept; changes of the
-// list, of leaving VMs and of ejections end it early.
+// usableFor is how long a count of usable endpoints is cached; changes of the
+// list, of leaving VMs and of ejections invalidate it early.
 const usableFor = 10 * time.Millisecond
 
 // expectedWait is how long a new request of a class would wait in the queue:
-// those ahead of it, at the rate at which requests in flight end.
+// the time in which the requests ahead of it are sent, at the rate at which
+// requests in flight end.
 func (t *Table) expectedWait(usable int, c Class) time.Duration {
 	ahead := t.queue.ahead(c)
 	if ahead == 0 {
@@ -407,8 +415,8 @@
 	return time.Duration(int64(t.latency) * int64(ahead) / int64(lanes))
 }
 
-// refuse ends a request that is not in flight: with code if it surely was not
-// run, else with an unknown outcome.
+// refuse ends a request that is not in flight: with code if it certainly was
+// not run, otherwise with an unknown outcome.
 func (t *Table) refuse(f *flight, code result.Code, after time.Duration) {
 	if f.mayHaveRun {
 		t.queue.remove(f)
@@ -421,7 +429,7 @@
 	t.out = append(t.out, Action{Kind: Refuse, Request: f.ID, Attempt: f.attempt, Code: code, RetryAfter: t.jitter(after)})
 }
 
-// minRetryAfter keeps refused callers from coming back all at once.
+// minRetryAfter, with jitter, keeps refused callers from returning all at once.
 const minRetryAfter = 50 * time.Millisecond
 
 func (t *Table) jitter(d time.Duration) time.Duration {
@@ -429,7 +437,7 @@
 	return d + time.Duration(t.rng.Int64N(int64(d)))
 }
 
-// Cancel forgets a waiting request whose caller went away. A request in flight
+// Cancel drops a waiting request whose caller disconnected. A request in flight
 // ends with Finish.
 func (t *Table) Cancel(id uint64) {
 	f := t.requests[id]
@@ -440,7 +448,7 @@
 	t.queue.remove(f)
 }
 
-// Tick refuses waiting requests whose deadline can't be met any more, and sends
+// Tick refuses waiting requests whose deadline can no longer be met, and sends
 // retries that are due.
 func (t *Table) Tick(now time.Duration) []Action {
 	t.queue.each(func(f *flight) {
@@ -455,7 +463,7 @@
 	return t.take()
 }
 
-// dispatch sends waiting requests while an endpoint has room.
+// dispatch sends waiting requests while an endpoint has capacity.
 func (t *Table) dispatch(now time.Duration) {
 	for {
 		f := t.queue.next(now)
@@ -485,9 +493,10 @@
 	})
 }
 
-// room reports whether a request may be sent to e: this entry doesn't use all
-// its slots. Other entries use some too, unseen; the endpoint's own refusal is
-// the guard, and the concurrency limit keeps refusals rare.
+// hasCapacity reports whether a request may be sent to e: this entry doesn't use
+// all its slots. Other entries use slots too, which this entry doesn't see; the
+// endpoint refuses what exceeds them, and the concurrency limit keeps such
+// refusals rare.
 func (t *Table) room(now time.Duration, e *endpoint) bool {
 	return !e.leaving && now >= e.ejectedUntil && now >= e.fullUntil && e.own < t.params.Slots
 }
--- a/router/router_fuzz_test.go
+++ b/router/router_fuzz_test.go
@@ -12,15 +12,15 @@
 	"leverstile.dev/api/result"
 )
 
-// Fixed seeds, so that each run gives the same verdict; -rapid.seed sets others.
+// Fixed seeds give each run the same verdict; -rapid.seed sets others.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
 	_ = flag.Set("rapid.checks", "1000")
 }
 
-// The oracle follows each request by the actions alone, without the table's
-// insight: what was sent where, how it ended.
+// oracle follows each request by the table's actions alone, independently of its
+// internal state: what was sent where, and how it ended.
 type oracle struct {
 	t        *Table
 	params   Params
@@ -38,7 +38,7 @@
 	Request
 	sent    int
 	mayHave bool // an attempt may have run
-	// lastRefused: the last attempt was refused for want of a slot.
+	// lastRefused is set when the last attempt was refused for lack of a slot.
 	lastRefused bool
 }
 
@@ -62,17 +62,17 @@
 		}
 		delete(o.open, a.Request)
 		if a.Kind == Refuse && r.mayHave {
-			return errors.Errorf("request %d is told 'not run' and may have run", a.Request)
+			return errors.Errorf("request %d is refused as 'not run' but may have run", a.Request)
 		}
 		if a.Kind == Refuse && (a.Code.Family() != result.FamilyNotRun || a.RetryAfter <= 0) {
-			return errors.Errorf("refusal %+v without 'not run' or a time to come back", a)
+			return errors.Errorf("refusal %+v without a 'not run' code or a retry delay", a)
 		}
 		return nil
 	}
 	r.sent++
 	switch {
 	case r.sent > 1 && r.Once:
-		return errors.Errorf("request %d has one attempt and got another", a.Request)
+		return errors.Errorf("request %d is limited to one attempt and got another", a.Request)
 	case r.mayHave && !r.Repeatable:
 		return errors.Errorf("request %d is not repeatable, may have run, and is sent again", a.Request)
 	case r.sent > o.params.Attempts+maxRefusals:
@@ -94,14 +94,14 @@
 			return errors.Errorf("endpoint %s has %d requests of this entry in %d slots", id, n, o.params.Slots)
 		}
 	}
-	if most := retryBurst + o.params.RetryRatio*float64(o.arrived); float64(o.retried) > most {
+	if maxRetried := retryBurst + o.params.RetryRatio*float64(o.arrived); float64(o.retried) > maxRetried {
 		return errors.Errorf("%d retries for %d requests", o.retried, o.arrived)
 	}
 	if waiting := len(o.open) - len(o.inFlight); waiting != o.t.Queued() {
 		return errors.Errorf("%d requests neither ended nor in flight, %d in the queue", waiting, o.t.Queued())
 	}
 	if len(o.inFlight) != o.t.InFlight() {
-		return errors.Errorf("%d in flight, the table says %d", len(o.inFlight), o.t.InFlight())
+		return errors.Errorf("%d in flight, the table reports %d", len(o.inFlight), o.t.InFlight())
 	}
 	return nil
 }
@@ -114,7 +114,7 @@
 	return out
 }
 
-// anyFlight returns a request in flight that the draw picks.
+// drawInFlight returns a random request in flight.
 func (o *oracle) anyFlight(t *rapid.T) (uint64, bool) {
 	var ids []uint64
 	for id := uint64(1); id <= o.nextID; id++ {
@@ -167,13 +167,14 @@
 		return err
 	}
 	if o.t.Queued() > max(o.params.Queue, before) {
-		return errors.Errorf("%d requests wait, the queue holds %d", o.t.Queued(), o.params.Queue)
+		return errors.Errorf("%d requests wait, the queue's bound is %d", o.t.Queued(), o.params.Queue)
 	}
 	return nil
 }
 
-// TestRouterPromises: limits hold, 'not run' is proven, what may have run is
-// repeated only if it may be, and each request ends once.
+// TestTableInvariants guards against exceeded limits, a 'not run' refusal for a
+// request that may have run, a forbidden repetition and a request that ends
+// twice or never, under random sequences of events.
 func TestRouterPromises(t *testing.T) {
 	policies := []Policy{Random{}, &RoundRobin{}, TwoChoices{}, &LeastLoaded{}}
 	rapid.Check(t, func(t *rapid.T) {
@@ -219,7 +220,7 @@
 				}
 			},
 		})
-		// With the deadlines over, nothing waits any more.
+		// After all deadlines, no request may still wait.
 		o.now += time.Hour
 		must(o.take(o.t.Tick(o.now)))
 		if o.t.Queued() != 0 {
