--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -424,7 +424,7 @@
 func (svc *service) offers(vm string) bool {
 	svc.mu.Lock()
 	defer svc.mu.Unlock()
-	return svc.table.Offers(vm)
+	return svc.table.MayServe(vm)
 }
 
 // TestBadInput guards against wrong codes for invalid requests, and against
--- a/router/limit.go
+++ b/router/limit.go
@@ -21,7 +21,7 @@
 )
 
 // allows reports whether one more request may be sent.
-func (l *concurrencyLimit) room(inFlight int) bool {
+func (l *concurrencyLimit) allows(inFlight int) bool {
 	return l.value == 0 || float64(inFlight) < l.value
 }
 
--- a/router/outcome.go
+++ b/router/outcome.go
@@ -19,24 +19,24 @@
 	if e.own == 0 {
 		delete(t.departed, e.ID)
 	}
-	t.judge(now, e, o)
-	t.conclude(now, f, e, o)
+	t.updateEndpoint(now, e, o)
+	t.endOrRetry(now, f, e, o)
 	t.dispatch(now)
-	return t.take()
+	return t.takeActions()
 }
 
 // updateEndpoint records what an outcome shows about its endpoint.
-func (t *Table) judge(now time.Duration, e *endpoint, o Outcome) {
+func (t *Table) updateEndpoint(now time.Duration, e *endpoint, o Outcome) {
 	switch o.Kind {
 	case Answered:
 		t.limit.answered()
 		e.faults, e.ejectFor = 0, 0
-		e.latency = mix(e.latency, o.Latency)
-		t.latency = mix(t.latency, o.Latency)
+		e.latency = movingAverage(e.latency, o.Latency)
+		t.latency = movingAverage(t.latency, o.Latency)
 	case Refused:
 		// A refusal shows that the endpoint is alive; it is only full for a short time.
 		e.fullUntil = now + fullFor
-		t.limit.refused(t.inFlight+1, t.evenPart())
+		t.limit.refused(t.inFlight+1, t.evenShare())
 	case Leaving:
 		// Recorded by VM, as the endpoint may leave the list and be listed again.
 		e.leaving = true
@@ -52,11 +52,11 @@
 }
 
 // evenShare is this entry's share of all slots if all entries had the same load.
-func (t *Table) evenPart() float64 {
+func (t *Table) evenShare() float64 {
 	return float64(t.params.Slots*len(t.endpoints)) / float64(max(t.params.Entries, 1))
 }
 
-func mix(mean, sample time.Duration) time.Duration {
+func movingAverage(mean, sample time.Duration) time.Duration {
 	return mean + time.Duration(latencyWeight*float64(sample-mean))
 }
 
@@ -80,7 +80,7 @@
 }
 
 // endOrRetry ends the request, retries it or queues it again.
-func (t *Table) conclude(now time.Duration, f *flight, e *endpoint, o Outcome) {
+func (t *Table) endOrRetry(now time.Duration, f *trackedRequest, e *endpoint, o Outcome) {
 	notRun := o.Kind == Refused || o.Kind == Unsent || o.Kind == Leaving
 	f.mayHaveRun = f.mayHaveRun || !notRun
 	switch {
@@ -88,8 +88,8 @@
 		delete(t.requests, f.ID)
 	case !notRun && !f.Repeatable:
 		t.fail(f, result.AnswerLost)
-	case o.Kind == Refused && t.mayWait(now, f):
-		t.wait(now, f, e)
+	case o.Kind == Refused && t.mayRequeue(now, f):
+		t.requeue(now, f, e)
 	case !t.mayRetry(now, f):
 		t.giveUp(f, o.Kind, notRun)
 	default:
@@ -100,29 +100,29 @@
 // mayRequeue reports whether a request that an endpoint refused for lack of a
 // slot is queued for another endpoint. That uses no retry budget: the endpoint
 // is alive, nothing ran, and the concurrency limit prevents a retry storm.
-func (t *Table) mayWait(now time.Duration, f *flight) bool {
+func (t *Table) mayRequeue(now time.Duration, f *trackedRequest) bool {
 	return !f.Once && f.refusals < maxRefusals && now < f.Deadline
 }
 
 // maxRefusals bounds how often one request is refused for lack of a slot.
 const maxRefusals = 16
 
-func (t *Table) wait(now time.Duration, f *flight, e *endpoint) {
+func (t *Table) requeue(now time.Duration, f *trackedRequest, e *endpoint) {
 	f.refusals++
 	f.attempt--
 	f.tried = append(f.tried[:0], e)
-	f.notBefore = now + time.Duration(t.rng.Int64N(int64(refusalPause)))
+	f.notBefore = now + time.Duration(t.rng.Int64N(int64(maxRequeueDelay)))
 	t.queue.pushFront(f)
 }
 
 // maxRequeueDelay bounds the jitter before a refused request is sent elsewhere.
-const refusalPause = 4 * time.Millisecond
+const maxRequeueDelay = 4 * time.Millisecond
 
-func (t *Table) mayRetry(now time.Duration, f *flight) bool {
+func (t *Table) mayRetry(now time.Duration, f *trackedRequest) bool {
 	return !f.Once && f.attempt < t.params.Attempts && t.budget >= 1 && now < f.Deadline
 }
 
-func (t *Table) giveUp(f *flight, kind Kind, notRun bool) {
+func (t *Table) giveUp(f *trackedRequest, kind Kind, notRun bool) {
 	if !notRun {
 		t.fail(f, result.AnswerLost)
 		return
@@ -137,12 +137,12 @@
 	t.refuse(f, code, t.latency)
 }
 
-func (t *Table) fail(f *flight, code result.Code) {
+func (t *Table) fail(f *trackedRequest, code result.Code) {
 	delete(t.requests, f.ID)
 	t.out = append(t.out, Action{Kind: Fail, Request: f.ID, Attempt: f.attempt, Code: code})
 }
 
-func (t *Table) retry(now time.Duration, f *flight, e *endpoint) {
+func (t *Table) retry(now time.Duration, f *trackedRequest, e *endpoint) {
 	t.budget--
 	t.Stats.Retried++
 	f.tried = append(f.tried, e)
--- a/router/policy.go
+++ b/router/policy.go
@@ -38,7 +38,7 @@
 	start := t.rng.IntN(n)
 	for i := range n {
 		e := t.endpoints[(start+i)%n]
-		if t.room(now, e) && !wasTried(e, tried) {
+		if t.hasCapacity(now, e) && !wasTried(e, tried) {
 			return e, n
 		}
 	}
@@ -57,7 +57,7 @@
 	for range n {
 		e := t.endpoints[p.next%n]
 		p.next++
-		if t.room(now, e) && !wasTried(e, tried) {
+		if t.hasCapacity(now, e) && !wasTried(e, tried) {
 			return e, n
 		}
 	}
@@ -78,7 +78,7 @@
 
 // maxDraws bounds the random draws for an endpoint with capacity before all
 // endpoints are checked.
-const choiceTries = 4
+const maxDraws = 4
 
 // Pick implements Policy.
 func (p TwoChoices) Pick(t *Table, now time.Duration, tried []*endpoint) (*endpoint, int) {
@@ -105,9 +105,9 @@
 	if n == 0 {
 		return nil
 	}
-	for range choiceTries {
+	for range maxDraws {
 		e := t.endpoints[t.rng.IntN(n)]
-		if t.room(now, e) && !wasTried(e, tried) {
+		if t.hasCapacity(now, e) && !wasTried(e, tried) {
 			return e
 		}
 	}
@@ -122,8 +122,8 @@
 // they have spare capacity.
 type LeastLoaded struct {
 	// OwnOnly ignores peers' reports, IgnoreLatency the endpoints' latency.
-	OwnOnly bool
-	Blind   bool
+	OwnOnly       bool
+	IgnoreLatency bool
 }
 
 // Name implements Policy.
@@ -131,7 +131,7 @@
 	switch {
 	case p.OwnOnly:
 		return "least-loaded-own"
-	case p.Blind:
+	case p.IgnoreLatency:
 		return "least-loaded-peers"
 	default:
 		return "least-loaded"
@@ -140,7 +140,7 @@
 
 // remotePlacePenalty is the extra cost of an endpoint in another place, as a
 // fraction of the slots: the own place is preferred until it is that much busier.
-const awayPenalty = 0.5
+const remotePlacePenalty = 0.5
 
 // sampleSize bounds the endpoints with capacity that are compared where there
 // are more than twice as many, so that a choice costs the same at any size.
@@ -159,7 +159,7 @@
 		if at++; at == n {
 			at = 0
 		}
-		if !t.room(now, e) || wasTried(e, tried) {
+		if !t.hasCapacity(now, e) || wasTried(e, tried) {
 			continue
 		}
 		seen++
@@ -185,15 +185,15 @@
 		load += e.others
 	}
 	cost := float64(load + 1)
-	if !p.Blind {
-		cost *= float64(max(e.latency, slowFloor(t))) / float64(max(t.latency, 1))
+	if !p.IgnoreLatency {
+		cost *= float64(max(e.latency, latencyFloor(t))) / float64(max(t.latency, 1))
 	}
 	if e.Place != t.params.Place {
-		cost += awayPenalty * float64(t.params.Slots)
+		cost += remotePlacePenalty * float64(t.params.Slots)
 	}
 	return cost
 }
 
 // latencyFloor is the latency below which endpoints are treated alike: latency
 // counts only where it is clearly above the mean, so that noise has no influence.
-func slowFloor(t *Table) time.Duration { return t.latency * 3 / 2 }
+func latencyFloor(t *Table) time.Duration { return t.latency * 3 / 2 }
--- a/router/queue.go
+++ b/router/queue.go
@@ -10,14 +10,14 @@
 }
 
 type classQueue struct {
-	groups map[string]*groupQueue
-	turn   []*groupQueue // groups with waiting requests, in round-robin order
-	size   int
+	groups     map[string]*groupQueue
+	roundRobin []*groupQueue // groups with waiting requests, in round-robin order
+	size       int
 }
 
 type groupQueue struct {
 	name    string
-	waiting []*flight
+	waiting []*trackedRequest
 }
 
 func (q *queue) len() int { return q.size }
@@ -31,7 +31,7 @@
 	return n
 }
 
-func (q *queue) group(f *flight) *groupQueue {
+func (q *queue) group(f *trackedRequest) *groupQueue {
 	c := &q.classes[f.Class]
 	if c.groups == nil {
 		c.groups = map[string]*groupQueue{}
@@ -40,36 +40,36 @@
 	if g == nil {
 		g = &groupQueue{name: f.Group}
 		c.groups[f.Group] = g
-		c.turn = append(c.turn, g)
+		c.roundRobin = append(c.roundRobin, g)
 	}
 	return g
 }
 
-func (q *queue) push(f *flight) {
+func (q *queue) push(f *trackedRequest) {
 	g := q.group(f)
 	g.waiting = append(g.waiting, f)
-	q.added(f)
+	q.markQueued(f)
 }
 
 // pushFront puts a request that is retried before the others of its group.
-func (q *queue) pushFront(f *flight) {
+func (q *queue) pushFront(f *trackedRequest) {
 	g := q.group(f)
 	g.waiting = append(g.waiting, nil)
 	copy(g.waiting[1:], g.waiting)
 	g.waiting[0] = f
-	q.added(f)
+	q.markQueued(f)
 }
 
-func (q *queue) added(f *flight) {
+func (q *queue) markQueued(f *trackedRequest) {
 	f.queued = true
 	q.classes[f.Class].size++
 	q.size++
 }
 
 // next returns the request to send next at now, without removing it.
-func (q *queue) next(now time.Duration) *flight {
+func (q *queue) next(now time.Duration) *trackedRequest {
 	for i := range q.classes {
-		for _, g := range q.classes[i].turn {
+		for _, g := range q.classes[i].roundRobin {
 			for _, f := range g.waiting {
 				if now >= f.notBefore {
 					return f
@@ -81,7 +81,7 @@
 }
 
 // remove removes a request. Its group moves to the end of the round-robin order.
-func (q *queue) remove(f *flight) {
+func (q *queue) remove(f *trackedRequest) {
 	if !f.queued {
 		return
 	}
@@ -100,9 +100,9 @@
 }
 
 func (c *classQueue) rotate(g *groupQueue) {
-	for i, o := range c.turn {
+	for i, o := range c.roundRobin {
 		if o == g {
-			c.turn = append(c.turn[:i], c.turn[i+1:]...)
+			c.roundRobin = append(c.roundRobin[:i], c.roundRobin[i+1:]...)
 			break
 		}
 	}
@@ -110,14 +110,14 @@
 		delete(c.groups, g.name)
 		return
 	}
-	c.turn = append(c.turn, g)
+	c.roundRobin = append(c.roundRobin, g)
 }
 
 // shed returns the request to drop in favour of a new one: the newest of the
 // longest group of the lowest class below its own, or of its own class if another
 // group has more requests waiting than the new one's group. It returns nil if
 // there is none.
-func (q *queue) shed(f *flight) *flight {
+func (q *queue) shed(f *trackedRequest) *trackedRequest {
 	for i := numClasses - 1; i > f.Class; i-- {
 		if g := q.classes[i].longest(); g != nil {
 			return g.newest()
@@ -136,7 +136,7 @@
 
 func (c *classQueue) longest() *groupQueue {
 	var longest *groupQueue
-	for _, g := range c.turn {
+	for _, g := range c.roundRobin {
 		if longest == nil || len(g.waiting) > len(longest.waiting) {
 			longest = g
 		}
@@ -144,16 +144,16 @@
 	return longest
 }
 
-func (g *groupQueue) newest() *flight { return g.waiting[len(g.waiting)-1] }
+func (g *groupQueue) newest() *trackedRequest { return g.waiting[len(g.waiting)-1] }
 
 // each calls fn for all waiting requests; fn may remove the request it is given.
-func (q *queue) each(fn func(*flight)) {
+func (q *queue) each(fn func(*trackedRequest)) {
 	if q.size == 0 {
 		return
 	}
-	var all []*flight
+	var all []*trackedRequest
 	for i := range q.classes {
-		for _, g := range q.classes[i].turn {
+		for _, g := range q.classes[i].roundRobin {
 			all = append(all, g.waiting...)
 		}
 	}
--- a/router/replay/central.go
+++ b/router/replay/central.go
@@ -22,7 +22,7 @@
 	for _, line := range t.Lines {
 		base := time.Duration(line.AtMS) * time.Millisecond
 		for _, f := range line.Faults {
-			c.at(base, func() {
+			c.schedule(base, func() {
 				c.fault(f)
 				c.dispatch()
 			})
@@ -30,8 +30,8 @@
 		for _, a := range line.Arrivals {
 			c.out.Asked++
 			at := base + time.Duration(a[0])*time.Microsecond
-			c.at(at, func() {
-				c.waiting = append(c.waiting, &request{service: time.Duration(a[1]) * time.Microsecond, first: c.now})
+			c.schedule(at, func() {
+				c.waiting = append(c.waiting, &request{service: time.Duration(a[1]) * time.Microsecond, firstArrival: c.now})
 				c.dispatch()
 			})
 		}
@@ -65,10 +65,10 @@
 		r := c.waiting[0]
 		c.waiting = c.waiting[1:]
 		best.inUse++
-		c.at(c.now+2*hop+time.Duration(float64(r.service)*best.slow), func() {
+		c.schedule(c.now+2*networkDelay+time.Duration(float64(r.service)*best.slow), func() {
 			best.inUse--
 			c.out.Answered++
-			_ = c.all.RecordValue((c.now - r.first).Microseconds())
+			_ = c.all.RecordValue((c.now - r.firstArrival).Microseconds())
 			c.dispatch()
 		})
 	}
--- a/router/replay/generate_test.go
+++ b/router/replay/generate_test.go
@@ -27,13 +27,13 @@
 	traceMS        = 3000
 )
 
-type recorder struct {
+type traceBuilder struct {
 	rng   *rand.Rand
 	lines []Line
 }
 
 // arrivals adds the arrivals of a group; load is a fraction of all slots.
-func (r *recorder) arrivals(fromMS, toMS, group int, load func(ms int) float64) {
+func (r *traceBuilder) arrivals(fromMS, toMS, group int, load func(ms int) float64) {
 	capacity := float64(traceEndpoints*traceSlots) / (meanServiceUS / 1e6)
 	for at := float64(fromMS) * 1000; ; {
 		perUS := capacity * load(int(at/1000)) / 1e6
@@ -47,43 +47,43 @@
 	}
 }
 
-func (r *recorder) fault(atMS int, f Fault) {
+func (r *traceBuilder) fault(atMS int, f Fault) {
 	line := &r.lines[atMS/lineMS]
 	line.Faults = append(line.Faults, f)
 }
 
 func steady(load float64) func(int) float64 { return func(int) float64 { return load } }
 
-var scenarios = map[string]func(*recorder){
-	"steady-60": func(r *recorder) { r.arrivals(0, traceMS, 0, steady(0.6)) },
-	"steady-85": func(r *recorder) { r.arrivals(0, traceMS, 0, steady(0.85)) },
-	"evening-peak": func(r *recorder) {
+var scenarios = map[string]func(*traceBuilder){
+	"steady-60": func(r *traceBuilder) { r.arrivals(0, traceMS, 0, steady(0.6)) },
+	"steady-85": func(r *traceBuilder) { r.arrivals(0, traceMS, 0, steady(0.85)) },
+	"evening-peak": func(r *traceBuilder) {
 		r.arrivals(0, traceMS, 0, func(ms int) float64 { return 0.5 + 0.45*math.Sin(math.Pi*float64(ms)/traceMS) })
 	},
-	"slow-endpoint": func(r *recorder) {
+	"slow-endpoint": func(r *traceBuilder) {
 		r.arrivals(0, traceMS, 0, steady(0.7))
 		r.fault(500, Fault{Endpoint: 7, Slow: 10})
 	},
-	"third-leaving": func(r *recorder) {
+	"third-leaving": func(r *traceBuilder) {
 		r.arrivals(0, traceMS, 0, steady(0.55))
 		for i := 0; i < traceEndpoints; i += 3 {
 			r.fault(1000, Fault{Endpoint: i, Leaving: true})
 		}
 	},
-	"blackout": func(r *recorder) {
+	"blackout": func(r *traceBuilder) {
 		r.arrivals(0, 2*traceMS, 0, steady(0.6))
 		for i := range traceEndpoints {
 			r.fault(1000, Fault{Endpoint: i, Down: true})
 			r.fault(3000, Fault{Endpoint: i})
 		}
 	},
-	"noisy-neighbours": func(r *recorder) {
+	"noisy-neighbours": func(r *traceBuilder) {
 		r.arrivals(0, traceMS, 0, steady(0.7))
 		for _, e := range []int{3, 11, 19, 27, 35} {
 			r.fault(400, Fault{Endpoint: e, Slow: 3})
 		}
 	},
-	"flooding-group": func(r *recorder) {
+	"flooding-group": func(r *traceBuilder) {
 		r.arrivals(0, traceMS, 0, steady(0.4))
 		r.arrivals(500, traceMS, 1, steady(0.9))
 	},
@@ -96,7 +96,7 @@
 	}
 	seed := uint64(1)
 	for name, build := range scenarios {
-		r := &recorder{rng: rand.New(rand.NewPCG(seed, uint64(len(name))))}
+		r := &traceBuilder{rng: rand.New(rand.NewPCG(seed, uint64(len(name))))}
 		for ms := 0; ms < 2*traceMS; ms += lineMS {
 			r.lines = append(r.lines, Line{AtMS: ms})
 		}
--- a/router/replay/replay.go
+++ b/router/replay/replay.go
@@ -84,12 +84,12 @@
 
 const (
 	// networkDelay is the one-way delay between an entry and an endpoint.
-	hop = 500 * time.Microsecond
+	networkDelay = 500 * time.Microsecond
 	// exchangeEvery is how often entries report their load to each other.
 	exchangeEvery = 500 * time.Millisecond
 	tickEvery     = 5 * time.Millisecond
 	// maxCallerRetries is how often a refused caller sends its request again.
-	comebacks = 1
+	maxCallerRetries = 1
 	// leaveLimit is the time after which a leaving endpoint must get no requests.
 	leaveLimit = 3 * time.Second
 )
@@ -117,22 +117,22 @@
 }
 
 type endpoint struct {
-	inUse   int
-	slow    float64
-	down    bool
-	leaving bool
-	since   time.Duration
+	inUse        int
+	slow         float64
+	down         bool
+	leaving      bool
+	leavingSince time.Duration
 }
 
 type request struct {
-	id       uint64
-	entry    int
-	group    int
-	service  time.Duration
-	first    time.Duration
-	comeback int
-	sentAt   time.Duration
-	endpoint int
+	id            uint64
+	entry         int
+	group         int
+	service       time.Duration
+	firstArrival  time.Duration
+	callerRetries int
+	sentAt        time.Duration
+	endpoint      int
 }
 
 // player simulates one trace in virtual time.
@@ -160,18 +160,18 @@
 	for range t.Groups {
 		p.byGroup = append(p.byGroup, hdrhistogram.New(1, 100_000_000, 3))
 	}
-	p.build(newPolicy)
-	p.schedule(share)
+	p.buildTables(newPolicy)
+	p.scheduleTrace(share)
 	for len(p.queue) > 0 {
 		ev := heap.Pop(&p.queue).(event)
 		p.now = ev.at
 		ev.fn()
 	}
-	p.sum()
+	p.summarize()
 	return p.out
 }
 
-func (p *player) build(newPolicy func() router.Policy) {
+func (p *player) buildTables(newPolicy func() router.Policy) {
 	var list []router.Endpoint
 	for i := range p.trace.Endpoints {
 		id := fmt.Sprintf("endpoint-%02d", i)
@@ -185,57 +185,57 @@
 			RetryRatio: 0.1, Entries: p.trace.Entries, Policy: newPolicy(),
 		}, uint64(e+1))
 		p.tables = append(p.tables, table)
-		p.take(e, table.SetEndpoints(0, list))
+		p.apply(e, table.SetEndpoints(0, list))
 	}
 }
 
-func (p *player) at(d time.Duration, fn func()) {
+func (p *player) schedule(d time.Duration, fn func()) {
 	p.seq++
 	heap.Push(&p.queue, event{at: d, seq: p.seq, fn: fn})
 }
 
-func (p *player) schedule(share bool) {
+func (p *player) scheduleTrace(share bool) {
 	n := 0
 	for _, line := range p.trace.Lines {
 		base := time.Duration(line.AtMS) * time.Millisecond
 		for _, f := range line.Faults {
-			p.at(base, func() { p.fault(f) })
+			p.schedule(base, func() { p.fault(f) })
 		}
 		for _, a := range line.Arrivals {
 			entry := n % p.trace.Entries
 			n++
 			at := base + time.Duration(a[0])*time.Microsecond
 			p.end = max(p.end, at)
-			p.at(at, func() {
-				p.arrive(&request{entry: entry, group: a[2], service: time.Duration(a[1]) * time.Microsecond, first: p.now})
+			p.schedule(at, func() {
+				p.arrive(&request{entry: entry, group: a[2], service: time.Duration(a[1]) * time.Microsecond, firstArrival: p.now})
 			})
 		}
 	}
 	p.out.Asked = n
 	p.end += 10 * time.Second
 	for e := range p.tables {
-		p.every(tickEvery, time.Duration(e)*time.Millisecond, func() { p.take(e, p.tables[e].Tick(p.now)) })
+		p.scheduleEvery(tickEvery, time.Duration(e)*time.Millisecond, func() { p.apply(e, p.tables[e].Tick(p.now)) })
 		if share {
-			p.every(exchangeEvery, time.Duration(e)*exchangeEvery/time.Duration(len(p.tables)), func() { p.exchange(e) })
+			p.scheduleEvery(exchangeEvery, time.Duration(e)*exchangeEvery/time.Duration(len(p.tables)), func() { p.exchange(e) })
 		}
 	}
 }
 
-func (p *player) every(d, first time.Duration, fn func()) {
+func (p *player) scheduleEvery(d, first time.Duration, fn func()) {
 	var again func()
 	again = func() {
 		fn()
 		if p.now < p.end || len(p.requests) > 0 {
-			p.at(p.now+d, again)
+			p.schedule(p.now+d, again)
 		}
 	}
-	p.at(first, again)
+	p.schedule(first, again)
 }
 
 func (p *player) fault(f Fault) {
 	e := p.endpoints[f.Endpoint]
 	if f.Leaving && !e.leaving {
-		e.since = p.now
+		e.leavingSince = p.now
 	}
 	e.slow, e.down, e.leaving = max(f.Slow, 1), f.Down, f.Leaving
 }
@@ -245,7 +245,7 @@
 	load := p.tables[e].Load()
 	for o, t := range p.tables {
 		if o != e {
-			p.at(p.now+hop, func() { t.SetPeerLoad(p.now, fmt.Sprint("entry-", e), load) })
+			p.schedule(p.now+networkDelay, func() { t.SetPeerLoad(p.now, fmt.Sprint("entry-", e), load) })
 		}
 	}
 }
@@ -255,14 +255,14 @@
 	r.id = p.nextID
 	p.requests[r.id] = r
 	g := p.trace.Groups[r.group]
-	p.take(r.entry, p.tables[r.entry].Arrive(p.now, router.Request{
+	p.apply(r.entry, p.tables[r.entry].Arrive(p.now, router.Request{
 		ID: r.id, Group: g.Name, Class: g.Class, Repeatable: true,
 		Deadline: p.now + time.Duration(p.trace.Deadline)*time.Millisecond,
 	}))
 }
 
 // apply carries out a table's actions.
-func (p *player) take(entry int, actions []router.Action) {
+func (p *player) apply(entry int, actions []router.Action) {
 	for _, a := range actions {
 		r := p.requests[a.Request]
 		switch a.Kind {
@@ -272,10 +272,10 @@
 			}
 			r.endpoint = p.index[a.Endpoint.ID]
 			r.sentAt = p.now
-			p.at(p.now+hop, func() { p.begin(entry, r) })
+			p.schedule(p.now+networkDelay, func() { p.reachEndpoint(entry, r) })
 		case router.Refuse:
 			delete(p.requests, r.id)
-			p.refused(r, a)
+			p.retryOrRecordRefusal(r, a)
 		case router.Fail:
 			delete(p.requests, r.id)
 			p.out.Failed++
@@ -283,10 +283,10 @@
 	}
 }
 
-func (p *player) refused(r *request, a router.Action) {
-	if r.comeback < comebacks {
-		r.comeback++
-		p.at(p.now+a.RetryAfter, func() {
+func (p *player) retryOrRecordRefusal(r *request, a router.Action) {
+	if r.callerRetries < maxCallerRetries {
+		r.callerRetries++
+		p.schedule(p.now+a.RetryAfter, func() {
 			r.entry = (r.entry + 1) % len(p.tables)
 			p.arrive(r)
 		})
@@ -296,9 +296,9 @@
 }
 
 // reachEndpoint processes a request's arrival at its endpoint.
-func (p *player) begin(entry int, r *request) {
+func (p *player) reachEndpoint(entry int, r *request) {
 	e := p.endpoints[r.endpoint]
-	if e.leaving && p.now-e.since > leaveLimit {
+	if e.leaving && p.now-e.leavingSince > leaveLimit {
 		p.out.AfterLeave++
 	}
 	kind := router.Answered
@@ -312,13 +312,13 @@
 		kind = router.Refused
 	}
 	if kind != router.Answered {
-		p.at(p.now+hop, func() { p.finish(entry, r, kind) })
+		p.schedule(p.now+networkDelay, func() { p.finish(entry, r, kind) })
 		return
 	}
 	e.inUse++
-	p.at(p.now+time.Duration(float64(r.service)*e.slow), func() {
+	p.schedule(p.now+time.Duration(float64(r.service)*e.slow), func() {
 		e.inUse--
-		p.at(p.now+hop, func() { p.finish(entry, r, router.Answered) })
+		p.schedule(p.now+networkDelay, func() { p.finish(entry, r, router.Answered) })
 	})
 }
 
@@ -326,14 +326,14 @@
 	if kind == router.Answered {
 		delete(p.requests, r.id)
 		p.out.Answered++
-		us := (p.now - r.first).Microseconds()
+		us := (p.now - r.firstArrival).Microseconds()
 		_ = p.all.RecordValue(us)
 		_ = p.byGroup[r.group].RecordValue(us)
 	}
-	p.take(entry, p.tables[entry].Finish(p.now, r.id, router.Outcome{Kind: kind, Latency: p.now - r.sentAt}))
+	p.apply(entry, p.tables[entry].Finish(p.now, r.id, router.Outcome{Kind: kind, Latency: p.now - r.sentAt}))
 }
 
-func (p *player) sum() {
+func (p *player) summarize() {
 	q := func(h *hdrhistogram.Histogram, at float64) time.Duration {
 		return time.Duration(h.ValueAtQuantile(at)) * time.Microsecond
 	}
--- a/router/replay/traces_test.go
+++ b/router/replay/traces_test.go
@@ -27,19 +27,19 @@
 	Why           string             `json:"why"`
 }
 
-type contender struct {
+type policyCase struct {
 	name  string
 	make  func() router.Policy
 	share bool
 }
 
-var contenders = []contender{
+var policyCases = []policyCase{
 	{"chosen", router.DefaultPolicy, false},
 	{"random", func() router.Policy { return router.Random{} }, true},
 	{"round-robin", func() router.Policy { return &router.RoundRobin{} }, true},
 	{"two-choices-own", func() router.Policy { return router.TwoChoices{OwnOnly: true} }, false},
 	{"two-choices-peers", func() router.Policy { return router.TwoChoices{} }, true},
-	{"least-loaded-own-blind", func() router.Policy { return &router.LeastLoaded{OwnOnly: true, Blind: true} }, false},
+	{"least-loaded-own-blind", func() router.Policy { return &router.LeastLoaded{OwnOnly: true, IgnoreLatency: true} }, false},
 	{"least-loaded-peers", func() router.Policy { return &router.LeastLoaded{} }, true},
 }
 
@@ -55,16 +55,16 @@
 		name := strings.TrimSuffix(filepath.Base(file), ".jsonl")
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			replayOne(t, file, name)
+			checkTrace(t, file, name)
 		})
 	}
 }
 
-func replayOne(t *testing.T, file, name string) {
+func checkTrace(t *testing.T, file, name string) {
 	trace, want := load(t, file)
 	outcomes := map[string]Outcome{}
 	rows := []string{"| policy | p50 ms | p99 ms | p99.9 ms | goodput | refused | unknown | retries/request | overshoot |", "|---|---|---|---|---|---|---|---|---|"}
-	for _, c := range contenders {
+	for _, c := range policyCases {
 		if testing.Short() && c.name != "chosen" {
 			continue
 		}
--- a/router/router.go
+++ b/router/router.go
@@ -155,7 +155,7 @@
 }
 
 // trackedRequest is a request that waits or is in flight.
-type flight struct {
+type trackedRequest struct {
 	Request
 	endpoint *endpoint
 	attempt  int
@@ -180,7 +180,7 @@
 	// departed holds endpoints that are no longer listed but still have requests
 	// in flight; these count again if the endpoint is listed again.
 	departed map[string]*endpoint
-	requests map[uint64]*flight
+	requests map[uint64]*trackedRequest
 	queue    queue
 	peers    map[string]peerLoad
 	budget   float64
@@ -220,7 +220,7 @@
 		rng:      rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
 		byID:     map[string]*endpoint{},
 		departed: map[string]*endpoint{},
-		requests: map[uint64]*flight{},
+		requests: map[uint64]*trackedRequest{},
 		peers:    map[string]peerLoad{},
 		leaving:  map[string]bool{},
 		budget:   retryBurst,
@@ -249,7 +249,7 @@
 		keep[e.ID] = true
 		row := t.byID[e.ID]
 		if row == nil {
-			row = t.comeBack(e)
+			row = t.restoreEndpoint(e)
 			t.byID[e.ID] = row
 			t.endpoints = append(t.endpoints, row)
 		}
@@ -270,12 +270,12 @@
 	t.endpoints = rest
 	t.usableUntil = 0
 	t.dispatch(now)
-	return t.take()
+	return t.takeActions()
 }
 
 // restoreEndpoint returns the row of an endpoint that enters the list, reusing
 // its row if requests to it are still in flight.
-func (t *Table) comeBack(e Endpoint) *endpoint {
+func (t *Table) restoreEndpoint(e Endpoint) *endpoint {
 	row := t.departed[e.ID]
 	delete(t.departed, e.ID)
 	if row == nil {
@@ -296,7 +296,7 @@
 }
 
 // MayServe reports whether an endpoint on a VM may get requests.
-func (t *Table) Offers(vm string) bool {
+func (t *Table) MayServe(vm string) bool {
 	for _, e := range t.endpoints {
 		if e.VM == vm && !e.leaving {
 			return true
@@ -341,7 +341,7 @@
 // Queued is the number of waiting requests.
 func (t *Table) Queued() int { return t.queue.len() }
 
-func (t *Table) take() []Action {
+func (t *Table) takeActions() []Action {
 	out := t.out
 	t.out = nil
 	return out
@@ -351,20 +351,20 @@
 func (t *Table) Arrive(now time.Duration, r Request) []Action {
 	t.Stats.Arrived++
 	t.budget = min(t.budget+t.params.RetryRatio, retryBurst)
-	f := &flight{Request: r}
+	f := &trackedRequest{Request: r}
 	t.requests[r.ID] = f
 	if code, after := t.admit(now, f); code != result.OK {
 		t.refuse(f, code, after)
-		return t.take()
+		return t.takeActions()
 	}
 	t.queue.push(f)
 	t.dispatch(now)
-	return t.take()
+	return t.takeActions()
 }
 
 // admit refuses a request that can't be answered before its deadline, that has
 // no usable endpoint or for which the queue is full.
-func (t *Table) admit(now time.Duration, f *flight) (result.Code, time.Duration) {
+func (t *Table) admit(now time.Duration, f *trackedRequest) (result.Code, time.Duration) {
 	usable := t.usable(now)
 	if usable == 0 {
 		return result.NoEndpoint, time.Second
@@ -417,7 +417,7 @@
 
 // refuse ends a request that is not in flight: with code if it certainly was
 // not run, otherwise with an unknown outcome.
-func (t *Table) refuse(f *flight, code result.Code, after time.Duration) {
+func (t *Table) refuse(f *trackedRequest, code result.Code, after time.Duration) {
 	if f.mayHaveRun {
 		t.queue.remove(f)
 		t.fail(f, result.AnswerLost)
@@ -451,23 +451,23 @@
 // Tick refuses waiting requests whose deadline can no longer be met, and sends
 // retries that are due.
 func (t *Table) Tick(now time.Duration) []Action {
-	t.queue.each(func(f *flight) {
+	t.queue.each(func(f *trackedRequest) {
 		if now+t.latency/2 > f.Deadline {
 			t.refuse(f, result.DeadlineTooShort, t.latency)
 		}
 	})
 	if t.queue.len() > 0 && t.usable(now) == 0 {
-		t.queue.each(func(f *flight) { t.refuse(f, result.NoEndpoint, time.Second) })
+		t.queue.each(func(f *trackedRequest) { t.refuse(f, result.NoEndpoint, time.Second) })
 	}
 	t.dispatch(now)
-	return t.take()
+	return t.takeActions()
 }
 
 // dispatch sends waiting requests while an endpoint has capacity.
 func (t *Table) dispatch(now time.Duration) {
 	for {
 		f := t.queue.next(now)
-		if f == nil || !t.limit.room(t.inFlight) {
+		if f == nil || !t.limit.allows(t.inFlight) {
 			return
 		}
 		e, candidates := t.params.Policy.Pick(t, now, f.tried)
@@ -482,7 +482,7 @@
 	}
 }
 
-func (t *Table) send(f *flight, e *endpoint, candidates int) {
+func (t *Table) send(f *trackedRequest, e *endpoint, candidates int) {
 	f.endpoint = e
 	f.attempt++
 	e.own++
@@ -497,6 +497,6 @@
 // all its slots. Other entries use slots too, which this entry doesn't see; the
 // endpoint refuses what exceeds them, and the concurrency limit keeps such
 // refusals rare.
-func (t *Table) room(now time.Duration, e *endpoint) bool {
+func (t *Table) hasCapacity(now time.Duration, e *endpoint) bool {
 	return !e.leaving && now >= e.ejectedUntil && now >= e.fullUntil && e.own < t.params.Slots
 }
--- a/router/router_fuzz_test.go
+++ b/router/router_fuzz_test.go
@@ -22,46 +22,46 @@
 // oracle follows each request by the table's actions alone, independently of its
 // internal state: what was sent where, and how it ended.
 type oracle struct {
-	t        *Table
-	params   Params
-	now      time.Duration
-	nextID   uint64
-	inFlight map[uint64]string
-	open     map[uint64]*oracleRequest
-	leaving  map[string]bool
-	perEP    map[string]int
-	retried  int
-	arrived  int
+	t           *Table
+	params      Params
+	now         time.Duration
+	nextID      uint64
+	inFlight    map[uint64]string
+	open        map[uint64]*oracleRequest
+	leaving     map[string]bool
+	perEndpoint map[string]int
+	retried     int
+	arrived     int
 }
 
 type oracleRequest struct {
 	Request
-	sent    int
-	mayHave bool // an attempt may have run
+	sent       int
+	mayHaveRun bool // an attempt may have run
 	// lastRefused is set when the last attempt was refused for lack of a slot.
 	lastRefused bool
 }
 
-func (o *oracle) take(actions []Action) error {
+func (o *oracle) apply(actions []Action) error {
 	for _, a := range actions {
 		r := o.open[a.Request]
 		if r == nil {
 			return errors.Errorf("action %+v for a request that has ended", a)
 		}
-		if err := o.takeOne(a, r); err != nil {
+		if err := o.applyOne(a, r); err != nil {
 			return err
 		}
 	}
 	return o.checkLimits()
 }
 
-func (o *oracle) takeOne(a Action, r *oracleRequest) error {
+func (o *oracle) applyOne(a Action, r *oracleRequest) error {
 	if a.Kind != Send {
 		if _, flying := o.inFlight[a.Request]; flying {
 			return errors.Errorf("request %d ended while in flight", a.Request)
 		}
 		delete(o.open, a.Request)
-		if a.Kind == Refuse && r.mayHave {
+		if a.Kind == Refuse && r.mayHaveRun {
 			return errors.Errorf("request %d is refused as 'not run' but may have run", a.Request)
 		}
 		if a.Kind == Refuse && (a.Code.Family() != result.FamilyNotRun || a.RetryAfter <= 0) {
@@ -73,7 +73,7 @@
 	switch {
 	case r.sent > 1 && r.Once:
 		return errors.Errorf("request %d is limited to one attempt and got another", a.Request)
-	case r.mayHave && !r.Repeatable:
+	case r.mayHaveRun && !r.Repeatable:
 		return errors.Errorf("request %d is not repeatable, may have run, and is sent again", a.Request)
 	case r.sent > o.params.Attempts+maxRefusals:
 		return errors.Errorf("request %d got %d attempts", a.Request, r.sent)
@@ -84,12 +84,12 @@
 		o.retried++
 	}
 	o.inFlight[a.Request] = a.Endpoint.ID
-	o.perEP[a.Endpoint.ID]++
+	o.perEndpoint[a.Endpoint.ID]++
 	return nil
 }
 
 func (o *oracle) checkLimits() error {
-	for id, n := range o.perEP {
+	for id, n := range o.perEndpoint {
 		if n > o.params.Slots {
 			return errors.Errorf("endpoint %s has %d requests of this entry in %d slots", id, n, o.params.Slots)
 		}
@@ -115,7 +115,7 @@
 }
 
 // drawInFlight returns a random request in flight.
-func (o *oracle) anyFlight(t *rapid.T) (uint64, bool) {
+func (o *oracle) drawInFlight(t *rapid.T) (uint64, bool) {
 	var ids []uint64
 	for id := uint64(1); id <= o.nextID; id++ {
 		if _, ok := o.inFlight[id]; ok {
@@ -129,14 +129,14 @@
 }
 
 func (o *oracle) finish(t *rapid.T) error {
-	id, ok := o.anyFlight(t)
+	id, ok := o.drawInFlight(t)
 	if !ok {
 		return nil
 	}
 	kind := Kind(rapid.IntRange(0, int(Leaving)).Draw(t, "kind"))
 	ep := o.inFlight[id]
 	delete(o.inFlight, id)
-	o.perEP[ep]--
+	o.perEndpoint[ep]--
 	r := o.open[id]
 	out := Outcome{Kind: kind, Latency: time.Duration(rapid.IntRange(1, 300).Draw(t, "ms")) * time.Millisecond}
 	r.lastRefused = kind == Refused
@@ -144,11 +144,11 @@
 	case Answered, Fault, Abandoned:
 		delete(o.open, id)
 	case Lost:
-		r.mayHave = true
+		r.mayHaveRun = true
 	case Leaving:
 		o.leaving["v"+ep[1:]] = true
 	}
-	return o.take(o.t.Finish(o.now, id, out))
+	return o.apply(o.t.Finish(o.now, id, out))
 }
 
 func (o *oracle) arrive(t *rapid.T) error {
@@ -163,7 +163,7 @@
 	}
 	o.open[r.ID] = &oracleRequest{Request: r}
 	before := o.t.Queued()
-	if err := o.take(o.t.Arrive(o.now, r)); err != nil {
+	if err := o.apply(o.t.Arrive(o.now, r)); err != nil {
 		return err
 	}
 	if o.t.Queued() > max(o.params.Queue, before) {
@@ -175,31 +175,31 @@
 // TestTableInvariants guards against exceeded limits, a 'not run' refusal for a
 // request that may have run, a forbidden repetition and a request that ends
 // twice or never, under random sequences of events.
-func TestRouterPromises(t *testing.T) {
+func TestTableInvariants(t *testing.T) {
 	policies := []Policy{Random{}, &RoundRobin{}, TwoChoices{}, &LeastLoaded{}}
 	rapid.Check(t, func(t *rapid.T) {
 		params := Params{Slots: 2, Place: "p0", Queue: 6, Attempts: 3, RetryRatio: 0.2}
 		params.Policy = policies[rapid.IntRange(0, len(policies)-1).Draw(t, "policy")]
 		o := &oracle{
 			t: New(params, 1), params: params, now: time.Hour, inFlight: map[uint64]string{},
-			open: map[uint64]*oracleRequest{}, leaving: map[string]bool{}, perEP: map[string]int{},
+			open: map[uint64]*oracleRequest{}, leaving: map[string]bool{}, perEndpoint: map[string]int{},
 		}
 		must := func(err error) {
 			if err != nil {
 				t.Fatal(err)
 			}
 		}
-		must(o.take(o.t.SetEndpoints(o.now, o.endpoints(4))))
+		must(o.apply(o.t.SetEndpoints(o.now, o.endpoints(4))))
 		t.Repeat(map[string]func(*rapid.T){
 			"arrive":  func(t *rapid.T) { must(o.arrive(t)) },
 			"arrive2": func(t *rapid.T) { must(o.arrive(t)) },
 			"finish":  func(t *rapid.T) { must(o.finish(t)) },
 			"time": func(t *rapid.T) {
 				o.now += time.Duration(rapid.IntRange(0, 500).Draw(t, "passed")) * time.Millisecond
-				must(o.take(o.t.Tick(o.now)))
+				must(o.apply(o.t.Tick(o.now)))
 			},
 			"vms": func(t *rapid.T) {
-				must(o.take(o.t.SetEndpoints(o.now, o.endpoints(rapid.IntRange(0, 5).Draw(t, "endpoints")))))
+				must(o.apply(o.t.SetEndpoints(o.now, o.endpoints(rapid.IntRange(0, 5).Draw(t, "endpoints")))))
 			},
 			"leaving": func(t *rapid.T) {
 				o.leaving = map[string]bool{fmt.Sprint("v", rapid.IntRange(0, 4).Draw(t, "vm")): true}
@@ -222,7 +222,7 @@
 		})
 		// After all deadlines, no request may still wait.
 		o.now += time.Hour
-		must(o.take(o.t.Tick(o.now)))
+		must(o.apply(o.t.Tick(o.now)))
 		if o.t.Queued() != 0 {
 			t.Fatalf("%d requests wait after their deadlines", o.t.Queued())
 		}
