--- a/dispatch/admit.go
+++ b/dispatch/admit.go
@@ -11,8 +11,8 @@
 	// admitFraction of a long-running job's tasks must find capacity at once. If all had to,
 	// the widest jobs would be refused long before the others.
 	admitFraction = 0.5
-	// crowdedAfter is how long short tasks have waited continuously when entries begin to
-	// ask before they record further ones: a burst is placed within a pass or two.
+	// crowdedAfter is how long short tasks must have waited without interruption before
+	// entries ask for admission of further ones: a burst is placed within a pass or two.
 	crowdedAfter = 500 * time.Millisecond
 	// minAdmitRetry and maxAdmitRetry bound the time after which a refused customer is asked to
 	// retry.
@@ -31,8 +31,8 @@
 
 // Admit decides whether a job will find capacity in time, by what is observed of its
 // service: a long-running job beside the capacity that short tasks need, a short one
-// behind those that wait already. A job that is known was accepted before and is
-// admitted, and so is one whose capacity can't be determined.
+// behind those that wait already. A job that has been accepted before is admitted, and so
+// is one whose capacity can't be determined.
 func (c *Core) Admit(spec *job.Spec, now Instant) Admission {
 	q, known := c.queues[spec.Queue]
 	k := c.reservedCapacity[q.Service]
--- a/dispatch/advice.go
+++ b/dispatch/advice.go
@@ -8,11 +8,11 @@
 	"leverstile.dev/job"
 )
 
-// Limits of calls to the placement policy, a service that allows steps on workers by
-// tickets.
+// Limits of calls to the placement policy, a service that decides which workers may run a
+// step and issues a ticket for each of them.
 const (
-	// adviceWorkers is how many workers one call asks for: the users count on
-	// calls for 30 in a job's time.
+	// adviceWorkers is how many workers one call asks about: the users expect calls
+	// about 30 workers within a job's time.
 	adviceWorkers = 30
 	// ticketMargin is how long a ticket must still be valid when it is used.
 	ticketMargin = 300 * time.Millisecond
@@ -24,7 +24,7 @@
 
 // AdviceRequest asks the placement policy which of these workers may run a step.
 type AdviceRequest struct {
-	Task    job.TaskID // its Index means nothing
+	Task    job.TaskID // identifies the step; its Index is not used
 	Workers []WorkerID
 	Terms   job.AdviceTerms
 	sent    time.Duration
@@ -39,7 +39,7 @@
 // advice is what the placement policy answered for a step.
 type advice struct {
 	tickets map[WorkerID]heldTicket
-	// refused workers may never run the step.
+	// refused workers must not run the step.
 	refused map[WorkerID]bool
 	pending bool
 	retryAt time.Duration
@@ -68,7 +68,7 @@
 	return allowed
 }
 
-// requestAdvice requests tickets for those workers that would be chosen first.
+// requestAdvice requests tickets for the workers that would be chosen first.
 func (c *Core) requestAdvice(s *stepRun, pool []*worker, terms job.AdviceTerms, now Instant) {
 	a := s.advice
 	if a.pending || now.Steady < a.retryAt {
@@ -101,14 +101,14 @@
 
 // TakeAdviceRequests returns the requests for advice since the last call.
 func (c *Core) TakeAdviceRequests() []AdviceRequest {
-	asks := c.adviceRequests
+	requests := c.adviceRequests
 	c.adviceRequests = nil
-	return asks
+	return requests
 }
 
-// AdviceDone processes an answer of the placement policy; ok is false if there
-// was none.
-func (c *Core) AdviceDone(req AdviceRequest, good []Ticket, ok bool, now Instant) {
+// AdviceDone processes the tickets that the placement policy granted for a request; ok is
+// false if it did not answer.
+func (c *Core) AdviceDone(req AdviceRequest, granted []Ticket, ok bool, now Instant) {
 	t := c.findTask(req.Task)
 	if t == nil || t.step.advice == nil {
 		return
@@ -123,7 +123,7 @@
 	for _, id := range req.Workers {
 		a.refused[id] = true
 	}
-	for _, g := range good {
+	for _, g := range granted {
 		delete(a.refused, g.Worker)
 		a.tickets[g.Worker] = heldTicket{g.Text, req.sent + req.Terms.Validity}
 	}
--- a/dispatch/budget.go
+++ b/dispatch/budget.go
@@ -10,7 +10,8 @@
 // halted run would wait for this worker alone.
 const requeueAfter = 3 * time.Second
 
-// headroomBudget is the headroom of a serving image that fills may take.
+// headroomBudget is the headroom (latency target divided by tail latency) of a serving image
+// that fills may take.
 type headroomBudget struct {
 	image string
 	left  float64
--- a/dispatch/chooser.go
+++ b/dispatch/chooser.go
@@ -3,8 +3,8 @@
 import "container/heap"
 
 // chooser selects workers for the tasks of one step, one after the other: all workers
-// are rated once, and after each choice only the chosen one again. Eight tasks at
-// 2,000 workers take one walk over the workers instead of eight.
+// are rated once, and after each choice only the chosen one again. Placing eight tasks
+// on 2,000 workers takes one walk over the workers instead of eight.
 type chooser struct {
 	core *Core
 	step *stepRun
@@ -14,7 +14,7 @@
 	rated ratedWorkers
 }
 
-// ratedWorker is a worker with its score; at is its index in the pool, which
+// ratedWorker is a worker with its score; poolIndex is its index in the pool, which
 // breaks ties.
 type ratedWorker struct {
 	worker *worker
--- a/dispatch/demand.go
+++ b/dispatch/demand.go
@@ -27,8 +27,8 @@
 	// pass, waitingSince when that wait began.
 	waiting      int64
 	waitingSince time.Duration
-	// starts is the capacity of short tasks that start per second, left the capacity that
-	// ending long-running tasks free per second; placed and ended count since the last tick.
+	// starts is the capacity of short tasks that start per second, freed the capacity that
+	// long-running tasks free per second as they end; placed and ended count since the last tick.
 	starts, left  average
 	placed, ended int64
 	// priority is that of the least urgent queue with such tasks recently, seenAt
@@ -46,14 +46,13 @@
 }
 
 // add records a value that was valid for a time.
-func (a *average) add(v float64, held time.Duration) {
-	a.age = min(a.age+held, demandWindow)
-	weight := min(1, float64(held)/float64(max(a.age, 1)))
+func (a *average) add(v float64, elapsed time.Duration) {
+	a.age = min(a.age+elapsed, demandWindow)
+	weight := min(1, float64(elapsed)/float64(max(a.age, 1)))
 	a.mean += weight * (v - a.mean)
 }
 
-// short reports whether the step's tasks end by themselves and need reserved
-// capacity.
+// short reports whether the step's tasks end by themselves and capacity is reserved for them.
 func (s *stepRun) short() bool { return s.spec.ShortStep() }
 
 // recordDemand records the demand of the short steps of a pass, after it.
@@ -86,19 +85,19 @@
 // update records the capacity that short tasks hold now, and what started and ended since
 // the last tick.
 func (d *shortDemand) update(running int64, tasks int, now Instant) {
-	held := min(now.Steady-d.sampled, maxSampleTime)
+	elapsed := min(now.Steady-d.sampled, maxSampleTime)
 	d.sampled = now.Steady
-	if held <= 0 {
+	if elapsed <= 0 {
 		return
 	}
-	d.starts.add(float64(d.placed)/held.Seconds(), held)
-	d.left.add(float64(d.ended)/held.Seconds(), held)
+	d.starts.add(float64(d.placed)/elapsed.Seconds(), elapsed)
+	d.left.add(float64(d.ended)/elapsed.Seconds(), elapsed)
 	d.placed, d.ended = 0, 0
 	wanted := float64(running + d.waiting)
-	d.demand.add(wanted, held)
-	d.peak = max(wanted, d.peak*math.Exp(-held.Seconds()/demandWindow.Seconds()))
+	d.demand.add(wanted, elapsed)
+	d.peak = max(wanted, d.peak*math.Exp(-elapsed.Seconds()/demandWindow.Seconds()))
 	if tasks > 0 {
-		d.taskSize.add(float64(running)/float64(tasks), held)
+		d.taskSize.add(float64(running)/float64(tasks), elapsed)
 	}
 }
 
--- a/dispatch/dropped.go
+++ b/dispatch/dropped.go
@@ -18,7 +18,7 @@
 	known   map[string]bool
 	expired []string // jobs whose records can be removed
 	removed []removedJobs
-	// again holds jobs that were received under known ids, until it is known whether
+	// resubmitted holds jobs that were received under known ids, until it is known whether
 	// their records were written after the removal.
 	resubmitted map[string]recordedJob
 }
@@ -66,9 +66,9 @@
 // once the store is reached.
 const cancelRetention = time.Minute
 
-// OldCancels returns at most limit jobs that were cancelled long ago and never received:
-// the records of their cancellation can be removed, if they still have not come. They are
-// returned until CancelsRemoved.
+// OldCancels returns at most limit jobs that were cancelled long ago and not received
+// since: the records of their cancellation can be removed. They are returned until
+// CancelsRemoved.
 func (c *Core) OldCancels(limit int, now Instant) []string {
 	var ids []string
 	for id, receivedAt := range c.cancelled {
@@ -117,7 +117,7 @@
 	if d.resubmitted == nil {
 		d.resubmitted = map[string]recordedJob{}
 	}
-	if revision >= d.resubmitted[spec.ID].revision { // a hint has no revision
+	if revision >= d.resubmitted[spec.ID].revision { // it is 0 for a job that an entry sent directly
 		d.resubmitted[spec.ID] = recordedJob{deferredJob{spec, now.Steady - ageAtIntake(spec, false, now)}, revision}
 	}
 	for _, r := range d.removed {
--- a/dispatch/eligible.go
+++ b/dispatch/eligible.go
@@ -21,14 +21,16 @@
 	exclusionEvacuated
 	// exclusionMaintenance: the worker's VM waits for maintenance.
 	exclusionMaintenance
-	// exclusionUnread: the worker's lists were not read in this owner's term.
+	// exclusionUnread: the worker's lists have not been read in this owner's term.
 	exclusionUnread
 	exclusionSilent
 	// exclusionAvoided: the worker's tasks fail one after the other, or it refuses work.
 	exclusionAvoided
-	// exclusionEndsUncertain: the worker may drop the ends of its runs before they are read; see excludeForAcknowledgement.
+	// exclusionEndsUncertain: the worker may drop the ends of its runs before they are
+	// read; see excludeForAcknowledgement.
 	exclusionEndsUncertain
-	// exclusionIncarnationUncertain: another owner may be there; see mayHaveRestarted.
+	// exclusionIncarnationUncertain: the worker may have restarted under its id while
+	// another owner may be active; see mayHaveRestarted.
 	exclusionIncarnationUncertain
 	// exclusionStaleClock: the worker's clock was read too long ago to set a deadline; see minClockAt.
 	exclusionStaleClock
--- a/dispatch/ends.go
+++ b/dispatch/ends.go
@@ -14,8 +14,8 @@
 	// bad: three in a row happen by chance in 1 of 8,000 (tasks fail in 2% to 5%
 	// of their runs).
 	failStreakLimit = 3
-	// avoidMin and avoidMax bound how long a bad worker gets no work; the
-	// time doubles with each relapse.
+	// minAvoidPause and maxAvoidPause bound how long a bad worker gets no work; the
+	// time doubles each time that its tasks fail again.
 	avoidMin = 2 * time.Second
 	avoidMax = 16 * time.Second
 )
@@ -42,7 +42,7 @@
 	c.deferEndAck(w, pendingEnd{number: e.Number, task: e.Task, job: t.step.job, version: t.step.job.version})
 }
 
-// ignoreEnd lets a worker forget an end that does not concern a task.
+// ignoreEnd acknowledges an end that does not concern a task, so that the worker drops it.
 func (c *Core) ignoreEnd(w *worker, e *EndedTask, reason string) {
 	c.deferEndAck(w, pendingEnd{number: e.Number, task: e.Task})
 	c.trace(Decision{Event: "end_ignored", Job: e.Task.Job, Task: e.Task, Run: e.Run, Worker: w.info.ID, Reason: reason})
@@ -62,8 +62,8 @@
 	return run>>runBits == c.term && run > t.lastStart.run
 }
 
-// recordEndCheckpoint records the checkpoint that comes with an end, also if the run is
-// older than the expected one.
+// recordEndCheckpoint records the checkpoint that is reported with an end, also if the run is
+// not the newest that this owner ordered.
 func (c *Core) recordEndCheckpoint(t *task, w *worker, e *EndedTask) {
 	if e.Checkpoint == "" {
 		return
@@ -149,7 +149,7 @@
 	c.avoidWorker(w, "its tasks fail one after the other", now)
 }
 
-// avoidWorker excludes a worker for a while, longer at each relapse.
+// avoidWorker excludes a worker for a while, longer each time.
 func (c *Core) avoidWorker(w *worker, reason string, now Instant) {
 	if now.Steady < w.avoidUntil {
 		return
--- a/dispatch/evacuation.go
+++ b/dispatch/evacuation.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// Evacuated data centres. From when the operators evacuate a data centre until
-// they revoke that, its workers get no new tasks: no first start, no restart,
+// A data centre is evacuated from when the operators request that until
+// they revoke it. Meanwhile its workers get no new tasks: no first start, no restart,
 // no member of a gang, no occurrence of a repeated job. Tasks that run there go on and
 // keep their leases: an evacuation only asks that nothing more is sent, and moving
 // long-running tasks would cost each of them a second or more of work. A task that
--- a/dispatch/explain.go
+++ b/dispatch/explain.go
@@ -35,21 +35,21 @@
 	if j == nil {
 		return Explanation{}
 	}
-	room := "room"
+	capacity := "room"
 	if excluded := c.countExclusions(c.queues[j.spec.Queue].Service, now).String(); excluded != "" {
-		room += "; workers that get nothing: " + excluded
+		capacity += "; workers that get nothing: " + excluded
 	}
 	e := Explanation{Known: true, State: j.shown, Queue: j.spec.Queue, Reason: j.progress.Reason, Persisted: j.persisted == j.version}
 	for _, s := range j.steps {
 		for _, t := range s.tasks {
-			e.Tasks = append(e.Tasks, c.explainTask(t, room, now))
+			e.Tasks = append(e.Tasks, c.explainTask(t, capacity, now))
 		}
 	}
 	return e
 }
 
-// explainTask describes one task; room is what a ready one waits for.
-func (c *Core) explainTask(t *task, room string, now Instant) TaskInfo {
+// explainTask describes one task; capacity is what a ready one that is no suspect waits for.
+func (c *Core) explainTask(t *task, capacity string, now Instant) TaskInfo {
 	info := TaskInfo{Task: t.id().String(), Phase: t.phase.String(), Crashes: t.suspectedCrashes()}
 	if a := t.attempt; a != nil {
 		info.Worker, info.Run, info.Pace = WorkerID(a.worker.info.ID.Name()), a.run, a.wantedPace
@@ -65,7 +65,7 @@
 		info.WaitsFor = "workers of the previous owner that have not answered"
 	case phaseReady:
 		info.ReadyMS = (now.Steady - t.readySince).Milliseconds()
-		info.WaitsFor = room
+		info.WaitsFor = capacity
 		if reason := c.suspectWaitReason(t, now); reason != "" {
 			info.WaitsFor = reason
 		} else if t.suspectedCrashes() > 0 {
--- a/dispatch/fill_acceptance.go
+++ b/dispatch/fill_acceptance.go
@@ -47,13 +47,13 @@
 		if !w.listed {
 			continue
 		}
-		open := 0.0
+		accepted := 0.0
 		for image, weight := range c.demand {
 			if c.accepts(w, image) {
-				open += weight
+				accepted += weight
 			}
 		}
-		w.fillAcceptance = open / total
+		w.fillAcceptance = accepted / total
 	}
 }
 
--- a/dispatch/interference.go
+++ b/dispatch/interference.go
@@ -6,7 +6,8 @@
 )
 
 // interference learns how much headroom each image of fill tasks takes from each
-// serving image. A fill task ("fill") uses only processor time that others leave.
+// serving image. A fill task ("fill") uses only processor time that others leave; a serving
+// task is a long-running task with a latency target, and its image a serving image.
 //
 // Headroom is a serving task's target divided by its tail latency: 1 at the target, more
 // below it. The tail latency of a server grows with 1/(1 - utilization), and what runs
@@ -16,7 +17,7 @@
 // fills start and end abruptly: the model learns from the difference between two
 // readings. The coefficients of a serving image are a Bayesian linear
 // regression over the readings of all workers (recursive least squares); old
-// readings fade. Its variance tells a harmless pair from one that was not seen yet.
+// readings fade. Its variance distinguishes a harmless pair from one that was not seen yet.
 type interference struct {
 	images map[string]*regression
 }
@@ -62,7 +63,7 @@
 	return r
 }
 
-// grow adds a coefficient.
+// grow adds an image's coefficient.
 func (r *regression) grow(image string, mean, variance float64) {
 	r.index[image] = len(r.mean)
 	r.mean = append(r.mean, mean)
@@ -203,15 +204,15 @@
 	l.fills = append(l.fills, pressure{image, share})
 }
 
-func (l *workerLoad) addServing(image string, alone float64) {
+func (l *workerLoad) addServing(image string, baseHeadroom float64) {
 	if i := slices.IndexFunc(l.serving, func(s servingLoad) bool { return s.image == image }); i >= 0 {
-		l.serving[i].baseHeadroom = min(l.serving[i].baseHeadroom, alone)
+		l.serving[i].baseHeadroom = min(l.serving[i].baseHeadroom, baseHeadroom)
 		return
 	}
-	l.serving = append(l.serving, servingLoad{image, alone})
+	l.serving = append(l.serving, servingLoad{image, baseHeadroom})
 }
 
-// rebuild recomputes the worker's load from its tasks.
+// rebuildLoad recomputes the worker's load from its tasks.
 func (w *worker) rebuild() {
 	l := workerLoad{serving: w.load.serving[:0], fills: w.load.fills[:0]}
 	for _, a := range w.attempts {
--- a/dispatch/jobs.go
+++ b/dispatch/jobs.go
@@ -48,10 +48,10 @@
 	checkpoint      checkpoint      // of a gang
 	advice          *advice         // of the placement policy, if the queue has one
 	waitLoggedAt    time.Duration   // when it was last logged that the step waits
-	runTimeSamples  int             // samples of its tasks' run time; see progressTracker
+	runTimeSamples  int             // samples of its tasks' run time; see addMeasurement
 	shortestRunTime time.Duration   // the shortest run time measured
-	suspects        int             // tasks with crashes
-	apartRetry      time.Duration   // when its suspects are tried again
+	suspects        int             // tasks that may have crashed their workers
+	apartRetry      time.Duration   // when starting its suspects is tried again
 	preemptedAt     time.Duration   // when tasks were last preempted for it
 	basis           rankBasis
 	// preemptCheckedAt is when tasks to preempt for it were last searched.
@@ -87,7 +87,7 @@
 	phase      phase
 	attempt    *attempt
 	checkpoint checkpoint // unless it is of a gang
-	// isLastStart is the newest run that this owner ordered or adopted, previousStart the
+	// lastStart is the newest run that this owner ordered or adopted, previousStart the
 	// one before it.
 	lastStart, previousStart startedRun
 	// notBefore delays a start after a failure.
@@ -246,15 +246,15 @@
 // steady clock counts. Without the bounds, a clock that is hours ahead makes all jobs of
 // its entry hopelessly late, or the most urgent of all.
 func ageAtIntake(spec *job.Spec, stored bool, now Instant) time.Duration {
-	most := maxNewAge
+	bound := maxNewAge
 	if stored {
-		most = maxStoredAge
+		bound = maxStoredAge
 	}
 	age := time.Duration(now.UnixMS-spec.AcceptedMS) * time.Millisecond
-	return min(max(age, 0), most)
+	return min(max(age, 0), bound)
 }
 
-// addDeferred adds the jobs that came while the lease was not held for certain.
+// addDeferred adds the jobs that were received while the lease was not held for certain.
 func (c *Core) addDeferred(now Instant) {
 	if len(c.deferred) == 0 || !c.holdsLease(now) {
 		return
--- a/dispatch/learnt.go
+++ b/dispatch/learnt.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// learntState is what an owner stores of its models for the next owner: some kilobytes.
-// Of the covariances only the variances are stored.
+// storedModels is what an owner stores of its models and of the demand of short tasks for the
+// next owner: some kilobytes. Of the covariances only the variances are stored.
 type learntState struct {
-	// Pairs are the coefficients by serving image and image beside it.
+	// Pairs are the coefficients by serving image and fill image.
 	Pairs map[string]map[string]learntPair `json:"pairs,omitempty"`
 	Times []learntTime                     `json:"times,omitempty"`
 	Short []learntShort                    `json:"short,omitempty"`
 }
 
-// learntShort is the demand of the short tasks of a service, in thousandths of a core.
+// storedDemand is the demand of the short tasks of a service, in thousandths of a core.
 type learntShort struct {
 	Service  string  `json:"service"`
 	Peak     float64 `json:"peak"`
@@ -23,12 +23,13 @@
 	Priority int     `json:"priority"`
 }
 
+// storedCoefficient is a coefficient of the interference model and its variance.
 type learntPair struct {
 	Mean     float64 `json:"m"`
 	Variance float64 `json:"v"`
 }
 
-// learntTime is the mean run time of a queue's tasks of one image.
+// storedRunTime is the average of the logarithms of the run times of a queue's tasks of one image.
 type learntTime struct {
 	Queue string  `json:"queue"`
 	Image string  `json:"image,omitempty"`
@@ -38,19 +39,19 @@
 
 // Parameters of the stored models.
 const (
-	// learntPause is the minimum time between two records of the models.
+	// modelsPause is the minimum time between two records of the models.
 	learntPause = 3 * time.Second
-	// learntVarianceFactor widens a variance that is loaded, for what has changed
+	// loadedVarianceFactor widens a variance that is loaded, for what has changed
 	// since and for the covariances that are not stored.
 	learntVarianceFactor = 2
 )
 
-// LearntDue reports whether the models should be recorded again.
+// ModelsDue reports whether the models should be recorded again.
 func (c *Core) LearntDue(now Instant) bool {
 	return (len(c.model.images) > 0 || c.reservesCapacity()) && now.Steady-c.learntAt >= learntPause
 }
 
-// Learnt returns the encoded models, for the next owner.
+// EncodeModels returns the encoded models, for the next owner.
 func (c *Core) Learnt(now Instant) ([]byte, error) {
 	c.learntAt = now.Steady
 	s := learntState{Pairs: make(map[string]map[string]learntPair, len(c.model.images))}
@@ -77,7 +78,7 @@
 	mostLogTime     = 12.0
 )
 
-// TakeLearnt loads the models that the previous owner stored.
+// LoadModels loads the models that the previous owner stored.
 func (c *Core) TakeLearnt(value []byte) error {
 	var s learntState
 	if err := json.Unmarshal(value, &s); err != nil {
--- a/dispatch/leaving.go
+++ b/dispatch/leaving.go
@@ -7,8 +7,8 @@
 
 // Limits of moving tasks off a worker that drains.
 const (
-	// stopLead before a worker leaves, tasks that still run there are stopped: a
-	// stop takes up to 0.9 s, and the end must still be read.
+	// stopLead is how long before a worker leaves the tasks that still run there are
+	// stopped: a stop takes up to 0.9 s, and the end must still be read.
 	stopLead = 1500 * time.Millisecond
 	// maxLeavingMovesPerTick bounds the long-running tasks that are moved in one tick: the
 	// capacity found for one counts as taken only once the task has started there, so
@@ -16,8 +16,8 @@
 	maxLeavingMovesPerTick = 4
 )
 
-// recordLeaveTime records how long a draining worker stays. The figure was true
-// when the worker wrote it, so the earliest end that follows from any counts.
+// recordLeaveTime records how long a draining worker stays. The time left was correct when the
+// worker reported it, and a report may be read late: the earliest time that follows from any counts.
 func (c *Core) recordLeaveTime(w *worker, left time.Duration, now Instant) {
 	at := now.Steady + left
 	if w.leavesAt == 0 || at < w.leavesAt {
--- a/dispatch/maintenance.go
+++ b/dispatch/maintenance.go
@@ -53,8 +53,8 @@
 	MaintenanceTimeout = 600 * time.Millisecond
 	// maintenanceRetry is the pause before an order is repeated.
 	maintenanceRetry = 500 * time.Millisecond
-	// maxMaintenance after its maintenance has started, a VM without a new worker counts
-	// as up: the platform needs 2 s and workers list themselves within 2 s more.
+	// maxMaintenance is the time after the start of its maintenance at which a VM without a
+	// new worker counts as up: the platform needs 2 s and workers list themselves within 2 s more.
 	maxMaintenance = 10 * time.Second
 )
 
@@ -117,6 +117,7 @@
 	return nil
 }
 
+// describe returns the wave's number and size, for the log.
 func (s *waveState) describe() string {
 	return "wave " + strconv.FormatInt(s.Number, 10) + ", " + strconv.Itoa(len(s.VMs)) + " VMs, " + strconv.Itoa(s.AtOnce) + " at once"
 }
@@ -147,7 +148,7 @@
 	}
 }
 
-// down returns how many VMs of the wave may be down for it.
+// down returns how many VMs of the wave may be down for its maintenance.
 func (s *waveState) down() int {
 	n := 0
 	for _, u := range s.vms {
--- a/dispatch/maintenance_drain.go
+++ b/dispatch/maintenance_drain.go
@@ -8,11 +8,11 @@
 
 // Timeouts of draining VMs for maintenance.
 const (
-	// absenceLimit after its last worker was listed, a VM without a worker counts as
-	// vacant: workers that live are listed again within 2 s.
+	// absenceLimit is the time after which a VM without a listed worker counts as
+	// vacant: a live worker is listed again within 2 s.
 	absenceLimit = 6 * time.Second
-	// drainMin and drainMax bound how long tasks without checkpoints may go on at a VM
-	// that waits for its maintenance; drainSlack is reserved from the wave's time.
+	// minDrainTime and maxDrainTime bound how long tasks without checkpoints may go on at a VM
+	// that waits for its maintenance; drainSlack of the wave's time is left unplanned.
 	drainMin   = 300 * time.Millisecond
 	drainMax   = 4 * time.Second
 	drainSlack = 1 * time.Second
@@ -84,13 +84,13 @@
 // drainTimeout returns how long tasks without checkpoints may go on at a VM that is
 // cordoned now: its share of the time that is left to the wave.
 func (c *Core) drainTimeout(s *waveState, now Instant) time.Duration {
-	open := 0
+	remaining := 0
 	for _, u := range s.vms {
 		if !u.started && !u.notWanted {
-			open++
+			remaining++
 		}
 	}
-	steps := max((open+s.AtOnce-1)/s.AtOnce, 1)
+	steps := max((remaining+s.AtOnce-1)/s.AtOnce, 1)
 	left := s.Allowed - time.Duration(now.UnixMS-s.seenMS)*time.Millisecond
 	return min(max(left/time.Duration(steps)-c.params.Maintenance-drainSlack, drainMin), drainMax)
 }
@@ -115,7 +115,7 @@
 	}
 }
 
-// mayStop reports whether a long-running task may be stopped: fewer than MaxAway of
+// mayStop reports whether a long-running task may be stopped: fewer than MaxUnavailable of
 // the others of its step may be unavailable.
 func (t *task) mayStop() bool {
 	return t.step.spec.MaxAway == 0 || t.othersUnavailable() < t.step.spec.MaxAway
--- a/dispatch/maintenance_record.go
+++ b/dispatch/maintenance_record.go
@@ -13,6 +13,7 @@
 	Succeeded bool                `json:"succeeded,omitempty"`
 }
 
+// vmRecord is the stored state of a VM's maintenance.
 type vmRecord struct {
 	// Incarnation and Born identify the incarnation of the worker that the maintenance ends.
 	Incarnation string `json:"life"`
--- a/dispatch/pace.go
+++ b/dispatch/pace.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Parameters of pacing. A fill's pace is its CPU share limit in percent. A reading covers
-// the last half second.
+// Parameters of pacing. A fill's pace is its CPU share limit in percent. A task's headroom is
+// its latency target divided by its tail latency. A reading covers the last half second.
 const (
 	// paceHeadroom is the expected headroom that paces aim at.
 	paceHeadroom = 1.25
@@ -17,8 +17,8 @@
 	throttleAfter = 0.1
 	haltAfter     = 0.25
 	haltAllAfter  = 0.45
-	// throttleFactor is applied with each reading over the target, throttleRecovery
-	// with each that is not.
+	// throttleFactor multiplies the headroom that fills may take with each reading over the
+	// target, throttleRecovery with each that is not.
 	throttleFactor   = 0.6
 	throttleRecovery = 1.5
 	// culpritCost is the headroom that a fill must take from a task to be slowed
@@ -36,7 +36,7 @@
 	cpuSmoothing = 0.5
 	// recentRun is the age below which a fill's reading is not representative yet.
 	recentRun = 700 * time.Millisecond
-	// leastPaceRead is the pace below which a reading of processor use does not
+	// minPaceRead is the pace below which a reading of processor use does not
 	// predict what the fill would use at its full pace.
 	leastPaceRead = 40
 )
@@ -92,12 +92,12 @@
 	c.sendPaces(w, now)
 }
 
-// shareOfOver returns a share of the time that a task may be over its target.
+// overTargetTime returns a share of the time for which a task may be over its target.
 func (c *Core) shareOfOver(share float64) time.Duration {
 	return time.Duration(float64(c.params.OverTarget) * share)
 }
 
-// longestOver returns the longest time for which a task of the worker has been over its target.
+// longestOverTarget returns the longest time for which a task of the worker has been over its target.
 func (w *worker) longestOver(now Instant) time.Duration {
 	longest := time.Duration(0)
 	for _, a := range w.attempts {
@@ -119,7 +119,7 @@
 	a.wantedPace = percent
 }
 
-// trackSlowed records since when a fill has been too slow to stay.
+// trackSlowed records since when a fill has been slow enough to be moved.
 func (a *attempt) trackSlowed(slowed bool, now Instant) {
 	switch {
 	case !slowed:
@@ -129,8 +129,8 @@
 	}
 }
 
-// shouldMove reports whether a fill that is too slow leaves its worker without
-// losing work: at once if it can continue elsewhere, else after requeueAfter.
+// shouldMove reports whether a slowed fill is to leave its worker without losing work: at
+// once if it can continue elsewhere, else after requeueAfter.
 func (c *Core) shouldMove(a *attempt, now Instant) bool {
 	if a.slowedSince == 0 || !a.task.step.spec.Checkpoints || a.task.phase != phaseRunning || now.Steady-a.started <= moveAge {
 		return false
@@ -140,12 +140,12 @@
 
 // Parameters of paces that may not be in force.
 const (
-	// paceUnknown is sent to no worker: the pace of an adopted fill, or after an order
-	// without an answer.
+	// paceUnknown stands for the pace of an adopted fill, and for that of a fill whose
+	// latest pace order was not answered. It is sent to no worker.
 	paceUnknown = -1
 	// latePaceWindow is how long an unanswered pace order may still be carried out and
 	// override newer ones; a worker may be 12 s late. Meanwhile the pace is sent again
-	// every paceResendPause. Without this a fill may stand still permanently.
+	// every paceResendPause. Without that a fill may be halted permanently.
 	latePaceWindow  = 12 * time.Second
 	paceResendPause = 3 * time.Second
 )
@@ -159,7 +159,7 @@
 	return a.paceUnansweredAt > 0 && a.paceSentAt < a.paceUnansweredAt+latePaceWindow && since >= paceResendPause
 }
 
-// sendPaces sends the worker the paces that it has not acknowledged.
+// sendPaces sends the worker the paces that are due.
 func (c *Core) sendPaces(w *worker, now Instant) {
 	for _, a := range w.attempts {
 		if a.stopping || a.task.phase != phaseRunning || now.Steady-a.started < c.params.PaceAfter || !a.paceDue(now) {
--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -54,11 +54,11 @@
 // pool holds the workers on which a scheduling pass may place a step's tasks.
 type pool struct {
 	workers []*worker
-	// use is the share of their processors that is taken, read once per pass when a
+	// use is the share of their processors that is taken, determined once per pass when a
 	// step first needs it; useKnown is set then. A pass changes it by a few per cent.
 	use      float64
 	useKnown bool
-	// withoutSuspects is set once a step of the pass has requested it.
+	// withoutSuspects is the result of suspectFree, nil until a step of the pass needs it.
 	withoutSuspects *suspectFreePool
 }
 
@@ -116,7 +116,7 @@
 	return v
 }
 
-// plainView returns the same as viewOf for a job that is not starved.
+// plainView returns what viewOf returns for a job that is not starved.
 func (c *Core) plainView(s *stepRun, now Instant) view {
 	return view{
 		avoidsSlow:     s.avoidsSlow(now),
@@ -203,7 +203,8 @@
 	return s.spec.MaxPerWorker == 0 || s.perWork[w] < s.spec.MaxPerWorker
 }
 
-// choose returns the best worker for a task, or nil. Unlike chooser it rates all workers.
+// choose returns the best worker for one task, or nil. For several tasks of a step, chooser
+// rates the workers only once.
 func (c *Core) choose(t *task, pool []*worker, v view, now Instant) *worker {
 	var best *worker
 	bestScore := 0.0
--- a/dispatch/progress.go
+++ b/dispatch/progress.go
@@ -111,8 +111,8 @@
 func (c *Core) Cancel(id string, now Instant) {
 	j := c.jobs[id]
 	if j == nil {
-		if _, heard := c.cancelled[id]; !heard && !c.dropped.known[id] {
-			c.cancelled[id] = now.Steady // its job is deferred, or comes later
+		if _, recorded := c.cancelled[id]; !recorded && !c.dropped.known[id] {
+			c.cancelled[id] = now.Steady // its job is deferred, or received later
 		}
 		return
 	}
--- a/dispatch/refusals.go
+++ b/dispatch/refusals.go
@@ -44,10 +44,10 @@
 
 // Limits of the record of refusals.
 const (
-	// maxWorkerChanges are kept; shapes that were refused before the oldest are tried
-	// at all workers again. A pass at 490 workers adds some 20.
+	// maxWorkerChanges is how many changes are kept; shapes that were refused before the
+	// oldest are tried at all workers again. A pass at 490 workers adds some 20.
 	maxWorkerChanges = 8192
-	// maxRefusedShapes are kept: a shape takes some 150 bytes.
+	// maxRefusedShapes is how many shapes are kept: each takes some 150 bytes.
 	maxRefusedShapes = 4096
 )
 
@@ -66,17 +66,17 @@
 	shapes map[shape]int
 }
 
-// noteChange records that a worker may take what it refused.
-func (r *refusals) noteChange(w *worker, load bool) {
+// recordChange records that a worker may take what it refused; loadOnly is that of workerChange.
+func (r *refusals) noteChange(w *worker, loadOnly bool) {
 	if len(r.changes) >= maxWorkerChanges {
 		half := maxWorkerChanges / 2
 		r.changes = append(r.changes[:0], r.changes[half:]...)
 		r.dropped += half
 	}
-	r.changes = append(r.changes, workerChange{w, load})
+	r.changes = append(r.changes, workerChange{w, loadOnly})
 }
 
-// noteRefused records that no worker takes tasks of a shape.
+// recordRefused records that no worker takes tasks of a shape.
 func (r *refusals) noteRefused(x shape) {
 	if r.shapes == nil || len(r.shapes) >= maxRefusedShapes {
 		r.shapes = map[shape]int{}
@@ -101,11 +101,11 @@
 	if !ok {
 		return false
 	}
-	for _, o := range list {
-		if o.loadOnly && !x.fills {
+	for _, change := range list {
+		if change.loadOnly && !x.fills {
 			continue
 		}
-		if _, takes := c.rate(s, o.worker, x.view, now); takes && c.inPool(o.worker, x.service, now) {
+		if _, takes := c.rate(s, change.worker, x.view, now); takes && c.inPool(change.worker, x.service, now) {
 			return false
 		}
 	}
@@ -115,7 +115,8 @@
 	return true
 }
 
-// noteReopened records the workers of a pool that a temporary block no longer applies to.
+// recordUnblocked records a change of each of a service's workers that has just become able to
+// get tasks again: it is back in the pool, or no longer full or slow.
 func (c *Core) noteReopened(service string, now Instant) {
 	for _, w := range c.members[service] {
 		g := gates{takesWork: c.inPool(w, service, now), full: now.Steady < w.fullUntil, slow: now.Steady < w.slowUntil}
@@ -126,8 +127,7 @@
 	}
 }
 
-// gates are the temporary states that decide whether a worker gets tasks, as of the
-// latest pass.
+// placementBlocks is whether a worker was in the pool, full and slow in the latest pass.
 type gates struct {
 	takesWork, full, slow bool
 }
--- a/dispatch/reserved.go
+++ b/dispatch/reserved.go
@@ -108,12 +108,12 @@
 	k.logChange(c, service, longRunning, size)
 }
 
-// pick returns the workers to reserve, of at most so many thousandths of a core in all.
-func (k *reservedCapacity) pick(pool []*worker, most int64) map[*worker]bool {
+// pick returns the workers to reserve, with at most maxCPU thousandths of a core in all.
+func (k *reservedCapacity) pick(pool []*worker, maxCPU int64) map[*worker]bool {
 	slices.SortStableFunc(pool, func(a, b *worker) int {
 		return cmp.Or(cmp.Compare(boolRank(a.isReserved), boolRank(b.isReserved)), cmp.Compare(b.freeOfLongRunning(), a.freeOfLongRunning()))
 	})
-	piece := max(int64(k.taskSize.mean), 1)
+	taskCPU := max(int64(k.taskSize.mean), 1)
 	chosen := make(map[*worker]bool, len(pool))
 	whole := int64(0)
 	k.available = 0
@@ -121,10 +121,10 @@
 		if k.available >= k.need || whole >= reserveFactor*k.need {
 			break
 		}
-		if whole+w.info.CPUMilli <= most {
+		if whole+w.info.CPUMilli <= maxCPU {
 			chosen[w] = true
 			whole += w.info.CPUMilli
-			k.available += w.freeOfLongRunning() / piece * piece
+			k.available += w.freeOfLongRunning() / taskCPU * taskCPU
 		}
 	}
 	k.workers = len(chosen)
--- a/dispatch/score.go
+++ b/dispatch/score.go
@@ -1,13 +1,14 @@
 package dispatch
 
 // Weights and limits of the choice among workers. A worker's score is roughly the share
-// of its processor time that is left; more is better.
+// of its processor time that is left; more is better. A serving task is a long-running task
+// with a latency target; its headroom is the target divided by its tail latency.
 const (
 	// servingUse is the share of their declared processor time that long-running
 	// tasks use on average.
 	servingUse = 0.55
-	// minAdmitHeadroom is the headroom that must be left for a fill to be
-	// admitted: a task's own load may take 0.5 more within a second while the fill runs.
+	// minAdmitHeadroom is the headroom that a serving task must keep for a fill to be
+	// admitted: its own load may take 0.5 more within a second while the fill runs.
 	minAdmitHeadroom = 1.5
 	// deviationWeight is the weight of the model's standard deviation in admission: of a
 	// pair that was not seen yet, one or two fills are tried on a worker.
@@ -23,9 +24,9 @@
 	// failWeight is the weight of each consecutive failure at a worker after the
 	// first. It exceeds all other terms: a worker that fails all it starts is
 	// recognized only after three failures, and a second failure may be a task's last.
-	// A single failure says little: tasks fail in 2% to 5% of their runs, and ranking
-	// each such worker last costs fills their harmless places (0.53 instead of 0.58 of
-	// the value of a dense day, 4 and 5 runs).
+	// A single failure says little: tasks fail in 2% to 5% of their runs, and ranking each
+	// such worker last keeps fills off workers where they do no harm (on a dense day 0.53
+	// instead of 0.58 of the value, 4 and 5 runs).
 	failWeight = 3.0
 	// coldWeight ranks a worker that is still cold behind all warm ones, whose scores
 	// differ by less, and before those that are slow or fail: a data centre that returns
@@ -42,8 +43,8 @@
 	return 1 - (servingUse*float64(w.longRunning.cpu)+w.load.otherCPU+w.load.fillCPU)/size
 }
 
-// score rates a worker for one more task of the step; more is better. It is false if the
-// worker takes none.
+// score rates a worker for one more task of the step; more is better. The second result is
+// false if the worker takes none.
 func (c *Core) score(s *stepRun, w *worker, starved bool) (float64, bool) {
 	score := 0.0
 	if s.spec.DataRack != "" && s.spec.DataRack != w.info.Rack {
@@ -82,8 +83,8 @@
 	return spare - costWeight*most - acceptanceWeight*w.fillAcceptance, true
 }
 
-// overTargetTooLong reports whether a task there has been over its target for so long that
-// the worker's fills are halted: new ones would work until the next list is read.
+// overTargetTooLong reports whether a task of the worker has been over its target for so long
+// that the worker's fills are halted: a new one would run until the next list is read.
 func (c *Core) overTargetTooLong(w *worker) bool {
 	return w.overTarget > 0 && w.overTarget >= c.shareOfOver(haltAfter)
 }
--- a/dispatch/sim_test.go
+++ b/dispatch/sim_test.go
@@ -67,7 +67,7 @@
 	// Safeguards that are switched off.
 	dropRoster, ackEarly, noFence, shortLease, dropTasks, ignoreLateness, retryBeforeLists bool
 	// blindTakeover: a new owner does not read which data centres are evacuated;
-	// hideEvacuations: no owner is told.
+	// hideEvacuations: no owner is informed of evacuations.
 	blindTakeover, hideEvacuations bool
 	// strict: no task that has ended done starts again, whether its owner has read the
 	// end or not. That holds while the owner lives and all workers are reachable.
--- a/dispatch/speed.go
+++ b/dispatch/speed.go
@@ -17,7 +17,7 @@
 	// slowRatio is the multiple of the usual run time at which a task counts as slow. Tasks
 	// of one step differ by 15%, and fills by the processor time that is left.
 	slowRatio = 2.5
-	// maxSpeedRatio limits a measurement: that of a task that stands still.
+	// maxSpeedRatio bounds a measurement, which is very large for a task that stands still.
 	maxSpeedRatio = 30.0
 	// minPeers is the number of measured tasks of a step that determine its usual run time.
 	// With fewer, the mean over jobs is used, which differ by half: jobMeanFactor allows
@@ -44,7 +44,7 @@
 	maxSpeedMoves = 2
 )
 
-// progressTracker measures a task's speed at its worker.
+// speedTracker measures a task's speed at its worker.
 type progressTracker struct {
 	percent int
 	at      time.Duration
@@ -97,7 +97,7 @@
 }
 
 // grantedShare returns the share of the requested processor time that a fill gets: a fill
-// that lacks capacity is slow because of that, not because of its worker.
+// that gets less than it requests is slow because of that, not because of its worker.
 func (a *attempt) grantedShare() float64 {
 	s := a.task.step.spec
 	if !s.Fills || a.lastReading == 0 || s.CPUMilli == 0 {
@@ -188,7 +188,7 @@
 // meanwhile are added.
 const slowCountAge = 100 * time.Millisecond
 
-// slowOf returns the count of a service's slow workers.
+// slowCountOf returns the count of a service's slow workers.
 func (c *Core) slowOf(service string, now Instant) *slowCount {
 	n := c.slow[service]
 	if n == nil {
--- a/dispatch/tail.go
+++ b/dispatch/tail.go
@@ -8,9 +8,9 @@
 	// Readings are imprecise: a task that was over its target for 4 s read 0.86 to 1.2
 	// meanwhile.
 	overRatio = 0.85
-	// clearRatio ends a period over the target with a single reading.
+	// clearRatio is the ratio below which a single reading ends a period over the target.
 	clearRatio = 0.7
-	// firstReadings is the time after the start of a serving task in which its readings
+	// readingWarmup is the time after the start of a serving task in which its readings
 	// are not representative.
 	firstReadings = 1 * time.Second
 	// priorBaseHeadroom is the headroom that a task is assumed to have without fills
@@ -32,6 +32,8 @@
 
 // tailTracker compares the tail latency of a serving task with its target.
 type tailTracker struct {
+	// ratio is the newest tail latency divided by the target, at the time of its reading;
+	// over and since are whether and since when the task counts as over its target.
 	ratio float64
 	at    time.Duration
 	over  bool
@@ -87,12 +89,12 @@
 // updateBaseHeadroom updates the base headroom by the newest reading; the fills beside the
 // task took cost of its headroom meanwhile.
 func (t *tailTracker) updateBaseHeadroom(cost float64) {
-	now := min(t.headroom()+cost, maxHeadroom)
+	base := min(t.headroom()+cost, maxHeadroom)
 	if t.baseHeadroom == 0 {
-		t.baseHeadroom = now
+		t.baseHeadroom = base
 		return
 	}
-	t.baseHeadroom += baseSmoothing * (now - t.baseHeadroom)
+	t.baseHeadroom += baseSmoothing * (base - t.baseHeadroom)
 }
 
 // sample is the processor use of a worker's fills when the model last learned from
@@ -137,8 +139,8 @@
 	w.sample = sample{now.Steady, beside}
 }
 
-// servesNow reports whether the list has a reading of a serving task that is
-// past its start phase.
+// hasServingReading reports whether the run is of a serving task (long-running, with a latency
+// target) past readingWarmup, and the list that is being processed has its reading.
 func (a *attempt) servesNow(now Instant) bool {
 	s := a.task.step.spec
 	return s.Lasting && s.TargetMS > 0 && a.tail.hasRead && a.tail.at == now.Steady && now.Steady-a.started > firstReadings
