--- a/dispatch/clock_test.go
+++ b/dispatch/clock_test.go
@@ -6,7 +6,7 @@
 )
 
 // A jump of the time of day by an hour must not remove the states of jobs that just ended, whose
-// customers would be told that there is no such job.
+// customers would get the answer that there is no such job.
 func TestClockJumpsKeepStates(t *testing.T) {
 	for _, jump := range []time.Duration{time.Hour, -time.Hour, 3 * time.Second} {
 		now := Instant{Steady: time.Minute, UnixMS: 1_700_000_000_000}
--- a/dispatch/ends.go
+++ b/dispatch/ends.go
@@ -15,7 +15,7 @@
 	// of their runs).
 	failStreakLimit = 3
 	// minAvoidPause and maxAvoidPause bound how long a bad worker gets no work; the
-	// time doubles each time that its tasks fail again.
+	// time doubles each time that it counts as bad again.
 	avoidMin = 2 * time.Second
 	avoidMax = 16 * time.Second
 )
--- a/dispatch/interference_test.go
+++ b/dispatch/interference_test.go
@@ -94,7 +94,7 @@
 }
 
 // Guards against new fills on a worker whose tasks have been over their targets for long, each of
-// which would work until the next list is read.
+// which would run until the next list is read.
 func TestNoFillsBesideTasksOverTheirTarget(t *testing.T) {
 	core := leasedCore(Params{OverTarget: 4 * time.Second}, 1, Instant{})
 	w := core.addWorker(WorkerInfo{CPUMilli: 16000, MemoryMiB: 64000}, Instant{})
--- a/dispatch/maintenance_test.go
+++ b/dispatch/maintenance_test.go
@@ -204,8 +204,8 @@
 	})
 }
 
-// Long-running tasks leave a VM in turn, at most MaxAway of a step at a time, and the VM is taken
-// down only when it is empty.
+// Long-running tasks leave a VM in turn, at most MaxUnavailable of a step at a time, and the VM is
+// taken down only when it is empty.
 func TestMaintenanceMovesLongRunningTasksInTurn(t *testing.T) {
 	now := Instant{Steady: time.Second}
 	core := leasedCore(Params{}, 1, now)
--- a/dispatch/reserved_test.go
+++ b/dispatch/reserved_test.go
@@ -14,7 +14,8 @@
 	urgent, onTime              int
 	longRunning, refused        int
 	shortestRetry, longestRetry time.Duration
-	// tasks counts accepted long-running tasks over the samples, atWork those that ran.
+	// tasks is the number of accepted long-running tasks, summed over the samples; atWork is how
+	// many of them ran.
 	tasks, atWork int
 }
 
--- a/dispatch/sim_test.go
+++ b/dispatch/sim_test.go
@@ -70,7 +70,7 @@
 	// hideEvacuations: no owner is informed of evacuations.
 	blindTakeover, hideEvacuations bool
 	// strict: no task that has ended done starts again, whether its owner has read the
-	// end or not. That holds while the owner lives and all workers are reachable.
+	// end or not. That holds while the owner is active and all workers are reachable.
 	strict bool
 
 	moreFaults
--- a/dispatch/unavailable_test.go
+++ b/dispatch/unavailable_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestTasksAtSilentWorkersCountAsUnavailable: a long-running task whose worker has not answered for
-// long may have ended, so no other of its step is moved beyond the step's MaxAway.
+// long may have ended, so no other of its step is moved beyond the step's MaxUnavailable.
 func TestTasksAtSilentWorkersCountAsUnavailable(t *testing.T) {
 	core, now := idleCore(t, 3)
 	spec := simpleJob(1, 2)
