--- a/dispatch/tail.go
+++ b/dispatch/tail.go
@@ -32,7 +32,7 @@
 
 // tailTracker compares the tail latency of a serving task with its target.
 type tailTracker struct {
-	// ratio is the newest tail latency divided by the target, at the time of its reading;
+	// ratio is the newest tail latency divided by the target, at is when it was read;
 	// over and since are whether and since when the task counts as over its target.
 	ratio float64
 	at    time.Duration
