--- a/dispatch/admit.go
+++ b/dispatch/admit.go
@@ -40,9 +40,9 @@
 		return Admission{}
 	}
 	var a Admission
-	if s := firstOf(spec, (*job.Step).LastingStep); s != nil {
+	if s := firstOf(spec, (*job.Step).IsLongRunning); s != nil {
 		a = c.admitLongRunning(k, q, s, now)
-	} else if s := firstOf(spec, (*job.Step).ShortStep); s != nil {
+	} else if s := firstOf(spec, (*job.Step).IsShort); s != nil {
 		a = c.admitShort(k, q, spec, s)
 	}
 	if a.Refused {
@@ -84,7 +84,7 @@
 // beside the long-running tasks of the workers that are not reserved.
 func (c *Core) longRunningSlots(service string, s *job.Step, now Instant) int {
 	amount, places := amountOf(s), 0
-	for _, w := range c.members[service] {
+	for _, w := range c.workersByService[service] {
 		if w.isReserved || !c.inPool(w, service, now) {
 			continue
 		}
@@ -110,7 +110,7 @@
 func (c *Core) longRunningWaiting(service string) int {
 	n := 0
 	for _, s := range c.openSteps {
-		if s.spec.Lasting && c.queues[s.job.spec.Queue].Service == service {
+		if s.spec.LongRunning && c.queues[s.job.spec.Queue].Service == service {
 			n += s.ready
 		}
 	}
--- a/dispatch/demand.go
+++ b/dispatch/demand.go
@@ -53,7 +53,7 @@
 }
 
 // short reports whether the step's tasks end by themselves and capacity is reserved for them.
-func (s *stepRun) short() bool { return s.spec.ShortStep() }
+func (s *stepRun) short() bool { return s.spec.IsShort() }
 
 // recordDemand records the demand of the short steps of a pass, after it.
 func (c *Core) recordDemand(list []candidate, now Instant) {
@@ -138,7 +138,7 @@
 // shortUse returns the capacity that short tasks hold on a service's workers, and their
 // number.
 func (c *Core) shortUse(service string) (cpu int64, tasks int) {
-	for _, w := range c.members[service] {
+	for _, w := range c.workersByService[service] {
 		cpu += w.used.cpu - w.longRunning.cpu
 		tasks += w.shortTasks
 	}
--- a/dispatch/eligible.go
+++ b/dispatch/eligible.go
@@ -88,7 +88,7 @@
 
 // poolOf returns the workers of a service that get new tasks, in a fixed order.
 func (c *Core) poolOf(service string, now Instant) []*worker {
-	members := c.members[service]
+	members := c.workersByService[service]
 	pool := make([]*worker, 0, len(members))
 	for _, w := range members {
 		if c.inPool(w, service, now) {
@@ -102,7 +102,7 @@
 type exclusionCounts [exclusionKinds]int
 
 func (c *Core) countExclusions(service string, now Instant) (counts exclusionCounts) {
-	for _, w := range c.members[service] {
+	for _, w := range c.workersByService[service] {
 		counts[c.exclusionOf(w, now)]++
 	}
 	return counts
@@ -132,7 +132,7 @@
 // WorkersExcluded returns how many workers get no new tasks for a reason.
 func (c *Core) WorkersExcluded(reason string, now Instant) int {
 	n := 0
-	for _, w := range c.order {
+	for _, w := range c.sortedWorkers {
 		if c.exclusionOf(w, now).String() == reason {
 			n++
 		}
--- a/dispatch/ends.go
+++ b/dispatch/ends.go
@@ -82,11 +82,11 @@
 	case EndDone:
 		c.stats.Done++
 		c.clearSuspicion(t, e.Run, "a run of it is done")
-		w.failStreak, w.strikes = 0, max(0, w.strikes-1)
+		w.failStreak, w.avoidStrikes = 0, max(0, w.avoidStrikes-1)
 		if a != nil {
 			c.learnRunTime(a, now)
 		}
-		if !t.step.spec.Lasting {
+		if !t.step.spec.LongRunning {
 			c.finishTask(t, a, now)
 		}
 	case EndFailed:
@@ -116,7 +116,7 @@
 // a whole: its failures are counted at its first task.
 func (c *Core) countFailure(t *task, run uint64, now Instant) {
 	s := t.step
-	if s.spec.Lasting {
+	if s.spec.LongRunning {
 		return
 	}
 	id := t.id()
@@ -124,7 +124,7 @@
 		id.Index = 0
 	}
 	j := s.job
-	if !j.progress.CountFailure(id, run) {
+	if !j.progress.RecordFailure(id, run) {
 		return
 	}
 	s.tasks[id.Index].failedInTerm = true
@@ -154,8 +154,8 @@
 	if now.Steady < w.avoidUntil {
 		return
 	}
-	pause := min(avoidMin<<min(w.strikes, 3), avoidMax)
-	w.strikes++
+	pause := min(avoidMin<<min(w.avoidStrikes, 3), avoidMax)
+	w.avoidStrikes++
 	w.avoidUntil = now.Steady + pause
 	c.trace(Decision{Event: "worker_avoided", Worker: w.info.ID, Reason: reason, Age: pause})
 }
--- a/dispatch/evacuation.go
+++ b/dispatch/evacuation.go
@@ -35,7 +35,7 @@
 // describeDataCentre returns how many workers and tasks a data centre has, for the log.
 func (c *Core) describeDataCentre(name string) string {
 	workers, running := 0, 0
-	for _, w := range c.order {
+	for _, w := range c.sortedWorkers {
 		if w.info.DataCentre == name {
 			workers++
 			running += len(w.attempts)
--- a/dispatch/interference.go
+++ b/dispatch/interference.go
@@ -220,9 +220,9 @@
 		switch {
 		case s.Fills:
 			l.addFill(s.Image, a.cpu(), w.info.CPUMilli)
-		case s.Lasting && s.TargetMS > 0:
+		case s.LongRunning && s.TargetMS > 0:
 			l.addServing(s.Image, a.tail.expectedBaseHeadroom())
-		case !s.Lasting:
+		case !s.LongRunning:
 			l.otherCPU += float64(s.CPUMilli)
 		}
 	}
--- a/dispatch/jobs.go
+++ b/dispatch/jobs.go
@@ -271,7 +271,7 @@
 // build creates the steps and tasks; unknown means that an earlier owner may have
 // started the tasks.
 func (j *jobState) build(unknown bool) {
-	for occurrence := range j.spec.Times() {
+	for occurrence := range j.spec.OccurrenceCount() {
 		first := len(j.steps)
 		for i := range j.spec.Steps {
 			j.steps = append(j.steps, j.buildStep(occurrence, i, unknown))
@@ -348,7 +348,7 @@
 
 func (c *Core) makeReady(t *task, now Instant) {
 	if c.mayHaveFailedBefore(t) {
-		t.phase, c.unknown = phaseUnknown, true
+		t.phase, c.unknownPending = phaseUnknown, true
 		return
 	}
 	t.phase = phaseReady
@@ -370,7 +370,7 @@
 	t, w := a.task, a.worker
 	s := t.step
 	w.remove(a)
-	if s.spec.Lasting {
+	if s.spec.LongRunning {
 		c.reservedCapacityOf(w.info.Service).ended += s.spec.CPUMilli
 	}
 	c.refusals.noteChange(w, false)
--- a/dispatch/leaving.go
+++ b/dispatch/leaving.go
@@ -43,10 +43,10 @@
 			switch {
 			case left < stopLead:
 				c.move(a, "its worker leaves", now)
-			case s.spec.Lasting && budget > 0 && c.hasCapacityElsewhere(a.task, now):
+			case s.spec.LongRunning && budget > 0 && c.hasCapacityElsewhere(a.task, now):
 				budget--
 				c.move(a, "its worker drains", now)
-			case !s.spec.Lasting && !s.spec.Checkpoints && c.estimate(s)-(now.Steady-a.started) > left:
+			case !s.spec.LongRunning && !s.spec.Checkpoints && c.estimate(s)-(now.Steady-a.started) > left:
 				c.move(a, "it can't end before its worker leaves", now)
 			}
 		}
@@ -69,5 +69,5 @@
 }
 
 func (c *Core) workersInOrder() []*worker {
-	return slices.Clone(c.order) // callers may remove workers while they iterate
+	return slices.Clone(c.sortedWorkers) // callers may remove workers while they iterate
 }
--- a/dispatch/maintenance_drain.go
+++ b/dispatch/maintenance_drain.go
@@ -70,7 +70,7 @@
 }
 
 func (c *Core) hasTasksOn(vm string) bool {
-	return slices.ContainsFunc(c.incarnations[vm], func(w *worker) bool { return len(w.attempts) > 0 })
+	return slices.ContainsFunc(c.workersByVM[vm], func(w *worker) bool { return len(w.attempts) > 0 })
 }
 
 // cordon keeps new tasks off a worker whose VM waits for its maintenance.
@@ -105,7 +105,7 @@
 		}
 		s := a.task.step.spec
 		switch {
-		case s.Lasting:
+		case s.LongRunning:
 			if a.task.mayStop() && (timedOut || c.hasCapacityElsewhere(a.task, now)) {
 				c.move(a, "its VM has upkeep", now)
 			}
@@ -118,7 +118,7 @@
 // mayStop reports whether a long-running task may be stopped: fewer than MaxUnavailable of
 // the others of its step may be unavailable.
 func (t *task) mayStop() bool {
-	return t.step.spec.MaxAway == 0 || t.othersUnavailable() < t.step.spec.MaxAway
+	return t.step.spec.MaxUnavailable == 0 || t.othersUnavailable() < t.step.spec.MaxUnavailable
 }
 
 // othersUnavailable returns how many other tasks of a long-running step are unavailable.
@@ -143,7 +143,7 @@
 // incarnation may still be listed beside the current one, which is returned.
 func (c *Core) workerOfVM(vm string) *worker {
 	var found *worker
-	for _, w := range c.incarnations[vm] {
+	for _, w := range c.workersByVM[vm] {
 		if !w.listed || w.endedByMaintenance {
 			continue
 		}
--- a/dispatch/maintenance_test.go
+++ b/dispatch/maintenance_test.go
@@ -217,7 +217,7 @@
 	storeOpen(core, "w0")
 	core.PollDone(PollRequest{Worker: "w0"}, PollReply{ClockMS: 1}, OutcomeOK, now)
 	spec := longRunningJob(1, 3)
-	spec.Steps[0].MaxAway = 1
+	spec.Steps[0].MaxUnavailable = 1
 	core.AddJob(spec, nil, false, now)
 	core.Schedule(now)
 	rows := map[WorkerID][]RunningTask{}
--- a/dispatch/pace.go
+++ b/dispatch/pace.go
@@ -48,7 +48,7 @@
 		return
 	}
 	s := t.step.spec
-	if s.Lasting && s.TargetMS > 0 {
+	if s.LongRunning && s.TargetMS > 0 {
 		a.tail.record(float64(row.Reading)/float64(s.TargetMS), now.Steady)
 		return
 	}
@@ -166,7 +166,7 @@
 			continue
 		}
 		a.paceSentAt = now.Steady
-		c.out = append(c.out, Order{
+		c.pendingOrders = append(c.pendingOrders, Order{
 			Kind: OrderPace, Worker: w.info.ID, Address: w.info.Address, Token: c.tokenOf(w),
 			Task: a.task.id(), Run: a.run, Percent: a.wantedPace,
 		})
--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -22,7 +22,7 @@
 	if c.deposed || now.Steady >= c.validUntil {
 		return
 	}
-	c.sendRecorded(now)
+	c.sendRecordedStarts(now)
 	list := c.candidates(now)
 	if len(list) == 0 {
 		c.recordDemand(nil, now)
@@ -188,9 +188,9 @@
 	case s.Fills:
 		c.demand.record(s.Image, 1)
 		w.load.addFill(s.Image, float64(s.CPUMilli), w.info.CPUMilli)
-	case s.Lasting && s.TargetMS > 0:
+	case s.LongRunning && s.TargetMS > 0:
 		w.load.addServing(s.Image, priorBaseHeadroom)
-	case !s.Lasting:
+	case !s.LongRunning:
 		w.load.otherCPU += float64(s.CPUMilli)
 	}
 }
--- a/dispatch/progress.go
+++ b/dispatch/progress.go
@@ -6,8 +6,8 @@
 func (c *Core) markChanged(j *jobState) {
 	j.version++
 	if _, waits := c.dirty[j]; !waits {
-		c.turn++
-		c.dirty[j] = c.turn
+		c.lastQueued++
+		c.dirty[j] = c.lastQueued
 	}
 }
 
--- a/dispatch/rank.go
+++ b/dispatch/rank.go
@@ -102,7 +102,7 @@
 	b := c.basisOf(s, q, now)
 	r.slack, r.left = b.objective-waited-b.criticalPath, b.left
 	switch {
-	case s.spec.Lasting:
+	case s.spec.LongRunning:
 		r.class = rankLongRunning
 	case r.slack >= 0:
 		r.class = rankOnTime
@@ -160,7 +160,7 @@
 		for _, earlier := range j.spec.Steps[i].After {
 			ends[i] = max(ends[i], ends[earlier])
 		}
-		if i < len(j.steps) && !j.spec.Steps[i].Lasting {
+		if i < len(j.steps) && !j.spec.Steps[i].LongRunning {
 			ends[i] += c.estimate(j.steps[i])
 		}
 		longest = max(longest, ends[i])
--- a/dispatch/refusals.go
+++ b/dispatch/refusals.go
@@ -118,12 +118,12 @@
 // recordUnblocked records a change of each of a service's workers that has just become able to
 // get tasks again: it is back in the pool, or no longer full or slow.
 func (c *Core) noteReopened(service string, now Instant) {
-	for _, w := range c.members[service] {
+	for _, w := range c.workersByService[service] {
 		g := gates{takesWork: c.inPool(w, service, now), full: now.Steady < w.fullUntil, slow: now.Steady < w.slowUntil}
-		if g.takesWork && !w.gates.takesWork || !g.full && w.gates.full || !g.slow && w.gates.slow {
+		if g.takesWork && !w.placementBlocks.takesWork || !g.full && w.placementBlocks.full || !g.slow && w.placementBlocks.slow {
 			c.refusals.noteChange(w, false)
 		}
-		w.gates = g
+		w.placementBlocks = g
 	}
 }
 
--- a/dispatch/reserved.go
+++ b/dispatch/reserved.go
@@ -99,7 +99,7 @@
 		k.need = 0
 	}
 	chosen := k.pick(pool, int64(maxReservedShare*float64(size)))
-	for _, w := range c.members[service] {
+	for _, w := range c.workersByService[service] {
 		if w.isReserved && !chosen[w] {
 			c.refusals.noteChange(w, false)
 		}
@@ -159,7 +159,7 @@
 // long: a job that has nothing running, and a task that is unavailable, have more value
 // there than what may arrive.
 func (c *Core) avoidsReserved(s *stepRun, now Instant) bool {
-	if !s.spec.Lasting {
+	if !s.spec.LongRunning {
 		return false
 	}
 	q := c.queues[s.job.spec.Queue]
--- a/dispatch/reserved_test.go
+++ b/dispatch/reserved_test.go
@@ -77,7 +77,7 @@
 func (c *crowdedSim) submitLongRunning() {
 	c.id++
 	spec := longRunningJob(c.id, 8)
-	spec.Steps[0].CPUMilli, spec.Steps[0].MaxAway = 800, 1
+	spec.Steps[0].CPUMilli, spec.Steps[0].MaxUnavailable = 800, 1
 	c.day.longRunning++
 	if !c.submitAdmitted(spec) {
 		c.day.refused++
@@ -159,7 +159,7 @@
 
 func (c *Core) reservedWorkers() int {
 	n := 0
-	for _, w := range c.order {
+	for _, w := range c.sortedWorkers {
 		if w.isReserved {
 			n++
 		}
@@ -175,7 +175,7 @@
 		t.Errorf("%d of 40 workers are reserved for tasks that need 5", n)
 	}
 	core.Cancel(simpleJob(90, 1).ID, now)
-	for _, w := range core.order {
+	for _, w := range core.sortedWorkers {
 		for _, a := range slices.Clone(w.attempts) {
 			core.release(a, now)
 		}
@@ -207,7 +207,7 @@
 func TestLongRunningTasksAvoidReservedCapacity(t *testing.T) {
 	core, now := reservingCore(t, 40)
 	free := 0
-	for _, w := range core.order {
+	for _, w := range core.sortedWorkers {
 		if !w.isReserved {
 			free += int((w.info.CPUMilli - w.used.cpu) / 500)
 		}
@@ -250,18 +250,18 @@
 func TestClearingRespectsMaxAway(t *testing.T) {
 	core, now := idleCore(t, 8)
 	spec := longRunningJob(1, 16)
-	spec.Steps[0].CPUMilli, spec.Steps[0].MaxAway = 1500, 2
+	spec.Steps[0].CPUMilli, spec.Steps[0].MaxUnavailable = 1500, 2
 	core.AddJob(spec, nil, false, now)
 	core.Schedule(now)
 	starts(core)
-	for _, w := range core.order {
+	for _, w := range core.sortedWorkers {
 		for _, a := range w.attempts {
 			a.task.phase, a.pastStart, a.started = phaseRunning, true, now.Steady-clearAge
 		}
 	}
 	k := core.reservedCapacityOf("svc")
 	k.waiting, k.waitingSince = 4000, now.Steady
-	core.order[0].isReserved, core.order[1].isReserved = true, true
+	core.sortedWorkers[0].isReserved, core.sortedWorkers[1].isReserved = true, true
 	core.clearReserved("svc", k, now)
 	if n := stops(core); n != 0 {
 		t.Fatalf("%d stops before short tasks have waited", n)
--- a/dispatch/score.go
+++ b/dispatch/score.go
@@ -54,7 +54,7 @@
 	case s.spec.Fills:
 		f, ok := c.scoreFill(s, w, starved)
 		return score + f, ok
-	case s.spec.Lasting:
+	case s.spec.LongRunning:
 		return score + c.scoreLongRunning(s, w), true
 	default:
 		return score + w.spareCPU(), true
--- a/dispatch/sim_test.go
+++ b/dispatch/sim_test.go
@@ -449,19 +449,19 @@
 	var reply PollReply
 	var outcome Outcome
 	finish := func(reply PollReply, outcome Outcome) {
-		pause := s.pollDone(o.core, plan.Order, reply, outcome)
+		pause := s.pollDone(o.core, plan.Request, reply, outcome)
 		s.later(pause+time.Duration(s.rng.IntN(300))*time.Millisecond, func() { o.polling[id] = false })
 	}
 	if s.unguardPoll != nil {
-		s.unguardPoll(o.core, &plan.Order)
+		s.unguardPoll(o.core, &plan.Request)
 	}
-	asked := plan.Order
+	asked := plan.Request
 	if s.skipPollWait {
 		asked.Wait = 0
 	}
 	var at *simWorker
 	lost := func() { s.deliver(o, func() { finish(PollReply{}, OutcomeUnknown) }) }
-	s.call(o, s.byAddress(plan.Order.Address), plan.Order.Token, func(w *simWorker) { at = w; reply, outcome = w.poll(asked) },
+	s.call(o, s.byAddress(plan.Request.Address), plan.Request.Token, func(w *simWorker) { at = w; reply, outcome = w.poll(asked) },
 		func() {
 			if (s.longPolls || asked.Wait == startGap) && outcome == OutcomeOK {
 				s.awaitEnd(at, asked, func(reply PollReply) { s.deliver(o, func() { finish(reply, OutcomeOK) }) }, lost)
--- a/dispatch/speed.go
+++ b/dispatch/speed.go
@@ -64,7 +64,7 @@
 func (c *Core) measureSpeed(a *attempt, percent int, now Instant) {
 	s := a.task.step
 	p := &a.progress
-	if s.spec.Lasting || s.spec.Gang || a.stopping {
+	if s.spec.LongRunning || s.spec.Gang || a.stopping {
 		return
 	}
 	if p.at == 0 || a.ackedPace != fullPace || a.wantedPace != fullPace || percent < p.percent || now.Steady-a.started < c.startupTime(a.task) {
@@ -174,7 +174,7 @@
 // and tasks of jobs that have had nothing running for long, if no other worker has
 // capacity. Such jobs must not wait for a worker that may be healthy.
 func (s *stepRun) avoidsSlow(now Instant) bool {
-	return !s.spec.Lasting && !s.starved(now)
+	return !s.spec.LongRunning && !s.starved(now)
 }
 
 // slowCount is how many of a service's listed workers count as slow, as of a time.
@@ -190,17 +190,17 @@
 
 // slowCountOf returns the count of a service's slow workers.
 func (c *Core) slowOf(service string, now Instant) *slowCount {
-	n := c.slow[service]
+	n := c.slowCounts[service]
 	if n == nil {
 		n = &slowCount{}
-		c.slow[service] = n
+		c.slowCounts[service] = n
 	}
 	if n.known && now.Steady-n.at < slowCountAge {
 		return n
 	}
 	*n = slowCount{known: true, at: now.Steady}
-	for _, w := range c.members[service] {
-		c.work.slowChecks++
+	for _, w := range c.workersByService[service] {
+		c.checkCounts.slowChecks++
 		if !w.listed {
 			continue
 		}
--- a/dispatch/tail.go
+++ b/dispatch/tail.go
@@ -143,7 +143,7 @@
 // target) past readingWarmup, and the list that is being processed has its reading.
 func (a *attempt) servesNow(now Instant) bool {
 	s := a.task.step.spec
-	return s.Lasting && s.TargetMS > 0 && a.tail.hasRead && a.tail.at == now.Steady && now.Steady-a.started > firstReadings
+	return s.LongRunning && s.TargetMS > 0 && a.tail.hasRead && a.tail.at == now.Steady && now.Steady-a.started > firstReadings
 }
 
 // measuredPressures sums the newest readings of the worker's fills by image.
--- a/dispatch/unavailable_test.go
+++ b/dispatch/unavailable_test.go
@@ -12,7 +12,7 @@
 func TestTasksAtSilentWorkersCountAsUnavailable(t *testing.T) {
 	core, now := idleCore(t, 3)
 	spec := simpleJob(1, 2)
-	spec.Steps[0].Lasting, spec.Steps[0].MaxPerWorker, spec.Steps[0].MaxAway = true, 1, 1
+	spec.Steps[0].LongRunning, spec.Steps[0].MaxPerWorker, spec.Steps[0].MaxUnavailable = true, 1, 1
 	core.AddJob(spec, nil, false, now)
 	core.Schedule(now)
 	list := starts(core)
@@ -22,7 +22,7 @@
 	for _, o := range list {
 		core.OrderDone(o, Answer{Outcome: OutcomeOK, ClockMS: 1001}, now)
 		reply := PollReply{ClockMS: 1100, Running: []RunningTask{{Task: o.Task, Run: o.Run, Percent: fullPace}}}
-		core.PollDone(core.PlanPoll(o.Worker, now).Order, reply, OutcomeOK, now)
+		core.PollDone(core.PlanPoll(o.Worker, now).Request, reply, OutcomeOK, now)
 	}
 	available, silent := core.findTask(list[0].Task), list[1].Worker
 	if !available.mayStop() {
@@ -30,7 +30,7 @@
 	}
 	for range unreachedAfter {
 		now.Steady += 500 * time.Millisecond
-		core.PollDone(core.PlanPoll(silent, now).Order, PollReply{}, OutcomeUnknown, now)
+		core.PollDone(core.PlanPoll(silent, now).Request, PollReply{}, OutcomeUnknown, now)
 	}
 	if available.mayStop() {
 		t.Error("a task may be stopped while the other's worker is silent")
@@ -41,7 +41,7 @@
 func TestStartingTasksCountAsUnavailable(t *testing.T) {
 	core, now := idleCore(t, 1)
 	spec := simpleJob(1, 2)
-	spec.Steps[0].Lasting, spec.Steps[0].MaxAway = true, 1
+	spec.Steps[0].LongRunning, spec.Steps[0].MaxUnavailable = true, 1
 	core.AddJob(spec, nil, false, now)
 	core.Schedule(now)
 	for _, percent := range []int{0, fullPace - 1, fullPace} {
@@ -50,7 +50,7 @@
 		for _, s := range core.jobs[spec.ID].steps[0].tasks {
 			reply.Running = append(reply.Running, RunningTask{Task: s.id(), Run: s.attempt.run, Percent: percent})
 		}
-		core.PollDone(core.PlanPoll("w0", now).Order, reply, OutcomeOK, now)
+		core.PollDone(core.PlanPoll("w0", now).Request, reply, OutcomeOK, now)
 		if got := core.findTask(reply.Running[0].Task).mayStop(); got != want {
 			t.Errorf("a task may be stopped while the other is at %d%%: %v, want %v", percent, got, want)
 		}
@@ -64,7 +64,7 @@
 		change func(s *job.Step)
 		stops  int
 	}{
-		"lasting":             {func(s *job.Step) { s.Lasting = true }, 0},
+		"lasting":             {func(s *job.Step) { s.LongRunning = true }, 0},
 		"short":               {func(*job.Step) {}, 0},
 		"fill that saves not": {func(s *job.Step) { s.Fills = true }, 0},
 		"fill that saves":     {func(s *job.Step) { s.Fills, s.Checkpoints = true, true }, 1},
