--- a/dispatch/admit.go
+++ b/dispatch/admit.go
@@ -74,8 +74,8 @@
 		return Admission{}
 	}
 	retry := maxAdmitRetry
-	if k.left.mean > 0 {
-		retry = time.Duration(lacking * float64(s.CPUMilli) / k.left.mean * float64(time.Second))
+	if k.freed.mean > 0 {
+		retry = time.Duration(lacking * float64(s.CPUMilli) / k.freed.mean * float64(time.Second))
 	}
 	return Admission{Refused: true, Reason: "no room for its lasting tasks beside what short ones need", RetryAfter: retry}
 }
--- a/dispatch/admit_test.go
+++ b/dispatch/admit_test.go
@@ -17,7 +17,7 @@
 	if !a.Refused || a.RetryAfter != maxAdmitRetry {
 		t.Errorf("a job without capacity, where no task ends: %+v", a)
 	}
-	core.reservedCapacityOf("svc").left.mean = 150_000 // thousandths of a core a second
+	core.reservedCapacityOf("svc").freed.mean = 150_000 // thousandths of a core a second
 	if b := core.Admit(large, now); !b.Refused || b.RetryAfter >= maxAdmitRetry || b.RetryAfter < minAdmitRetry {
 		t.Errorf("where other tasks end, the retry is due after %v", b.RetryAfter)
 	}
--- a/dispatch/attempts_test.go
+++ b/dispatch/attempts_test.go
@@ -9,7 +9,7 @@
 
 // endRound starts all tasks that can start, ends each run with kind, and returns their number.
 func endRound(core *Core, now *Instant, number *uint64, kind EndKind) int {
-	now.Steady += 2 * avoidMax // past all pauses after failures
+	now.Steady += 2 * maxAvoidPause // past all pauses after failures
 	core.Schedule(*now)
 	list := starts(core)
 	var ended []EndedTask
@@ -137,7 +137,7 @@
 		if core.jobs[spec.ID].progress.State == job.Failed {
 			t.Fatalf("failed after %d rounds", round)
 		}
-		now.Steady += 2 * avoidMax
+		now.Steady += 2 * maxAvoidPause
 		core.Schedule(now)
 		var ended []EndedTask
 		for _, o := range starts(core) {
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -60,7 +60,7 @@
 					ended := []EndedTask{{Number: number[o.Worker], Task: o.Task, Run: o.Run, Kind: EndDone}}
 					w := core.workers[o.Worker]
 					core.processEnds(w, ended, now)
-					w.rebuild()
+					w.rebuildLoad()
 				}
 				records, err := core.Records(27)
 				if err != nil {
@@ -106,7 +106,7 @@
 				now.Steady += 8 * time.Millisecond
 				core.Renewed(now.Steady)
 				for range 8 {
-					core.refusals.noteChange(core.workers[ids[n%len(ids)]], true)
+					core.refusals.recordChange(core.workers[ids[n%len(ids)]], true)
 					n++
 				}
 				core.Schedule(now)
--- a/dispatch/chooser.go
+++ b/dispatch/chooser.go
@@ -17,9 +17,9 @@
 // ratedWorker is a worker with its score; poolIndex is its index in the pool, which
 // breaks ties.
 type ratedWorker struct {
-	worker *worker
-	score  float64
-	at     int
+	worker    *worker
+	score     float64
+	poolIndex int
 }
 
 func (c *Core) newChooser(s *stepRun, pool []*worker, v view, now Instant) *chooser {
@@ -72,7 +72,7 @@
 }
 
 func (a ratedWorker) better(b ratedWorker) bool {
-	return a.score > b.score || a.score == b.score && a.at < b.at
+	return a.score > b.score || a.score == b.score && a.poolIndex < b.poolIndex
 }
 
 // ratedWorkers implements heap.Interface.
--- a/dispatch/core_test.go
+++ b/dispatch/core_test.go
@@ -209,12 +209,12 @@
 	}
 	short := first.reservedCapacityOf("svc")
 	short.peak, short.priority, short.taskSize.mean = 70_000, 2, 5000
-	value, err := first.Learnt(Instant{})
+	value, err := first.EncodeModels(Instant{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	next := New(Params{}, 2, nil)
-	if err := next.TakeLearnt(value); err != nil {
+	if err := next.LoadModels(value); err != nil {
 		t.Fatal(err)
 	}
 	if k := next.reservedCapacityOf("svc"); k.peak != 70_000 || k.priority != 2 || k.taskSize.mean != 5000 {
--- a/dispatch/demand.go
+++ b/dispatch/demand.go
@@ -29,7 +29,7 @@
 	waitingSince time.Duration
 	// starts is the capacity of short tasks that start per second, freed the capacity that
 	// long-running tasks free per second as they end; placed and ended count since the last tick.
-	starts, left  average
+	starts, freed average
 	placed, ended int64
 	// priority is that of the least urgent queue with such tasks recently, seenAt
 	// when such a task was last seen.
@@ -91,7 +91,7 @@
 		return
 	}
 	d.starts.add(float64(d.placed)/elapsed.Seconds(), elapsed)
-	d.left.add(float64(d.ended)/elapsed.Seconds(), elapsed)
+	d.freed.add(float64(d.ended)/elapsed.Seconds(), elapsed)
 	d.placed, d.ended = 0, 0
 	wanted := float64(running + d.waiting)
 	d.demand.add(wanted, elapsed)
--- a/dispatch/ends.go
+++ b/dispatch/ends.go
@@ -16,8 +16,8 @@
 	failStreakLimit = 3
 	// minAvoidPause and maxAvoidPause bound how long a bad worker gets no work; the
 	// time doubles each time that it counts as bad again.
-	avoidMin = 2 * time.Second
-	avoidMax = 16 * time.Second
+	minAvoidPause = 2 * time.Second
+	maxAvoidPause = 16 * time.Second
 )
 
 // processEnd applies the end of a run that a worker lists.
@@ -154,7 +154,7 @@
 	if now.Steady < w.avoidUntil {
 		return
 	}
-	pause := min(avoidMin<<min(w.avoidStrikes, 3), avoidMax)
+	pause := min(minAvoidPause<<min(w.avoidStrikes, 3), maxAvoidPause)
 	w.avoidStrikes++
 	w.avoidUntil = now.Steady + pause
 	c.trace(Decision{Event: "worker_avoided", Worker: w.info.ID, Reason: reason, Age: pause})
--- a/dispatch/interference.go
+++ b/dispatch/interference.go
@@ -213,7 +213,7 @@
 }
 
 // rebuildLoad recomputes the worker's load from its tasks.
-func (w *worker) rebuild() {
+func (w *worker) rebuildLoad() {
 	l := workerLoad{serving: w.load.serving[:0], fills: w.load.fills[:0]}
 	for _, a := range w.attempts {
 		s := a.task.step.spec
--- a/dispatch/jobs.go
+++ b/dispatch/jobs.go
@@ -51,7 +51,7 @@
 	runTimeSamples  int             // samples of its tasks' run time; see addMeasurement
 	shortestRunTime time.Duration   // the shortest run time measured
 	suspects        int             // tasks that may have crashed their workers
-	apartRetry      time.Duration   // when starting its suspects is tried again
+	suspectRetryAt  time.Duration   // when starting its suspects is tried again
 	preemptedAt     time.Duration   // when tasks were last preempted for it
 	basis           rankBasis
 	// preemptCheckedAt is when tasks to preempt for it were last searched.
@@ -155,7 +155,7 @@
 	wantedPace, ackedPace int
 	paceSentAt            time.Duration // when the last order of a pace was sent
 	paceUnansweredAt      time.Duration // when an order of a pace last got no answer
-	progress              progressTracker
+	speed                 speedTracker
 	slowedSince           time.Duration // since when its pace is below movePace
 	fullCPU               float64       // thousandths of a core at full pace, from readings
 	hasFullCPU            bool          // fullCPU is set
@@ -373,7 +373,7 @@
 	if s.spec.LongRunning {
 		c.reservedCapacityOf(w.info.Service).ended += s.spec.CPUMilli
 	}
-	c.refusals.noteChange(w, false)
+	c.refusals.recordChange(w, false)
 	if s.perWork != nil {
 		s.perWork[w]--
 	}
--- a/dispatch/lists.go
+++ b/dispatch/lists.go
@@ -62,7 +62,7 @@
 	for id := range w.unexpected {
 		if !listedUnexpected[id] {
 			delete(w.unexpected, id)
-			c.refusals.noteChange(w, false)
+			c.refusals.recordChange(w, false)
 		}
 	}
 	for _, a := range slices.Clone(w.attempts) {
--- a/dispatch/maintenance_drain.go
+++ b/dispatch/maintenance_drain.go
@@ -13,9 +13,9 @@
 	absenceLimit = 6 * time.Second
 	// minDrainTime and maxDrainTime bound how long tasks without checkpoints may go on at a VM
 	// that waits for its maintenance; drainSlack of the wave's time is left unplanned.
-	drainMin   = 300 * time.Millisecond
-	drainMax   = 4 * time.Second
-	drainSlack = 1 * time.Second
+	minDrainTime = 300 * time.Millisecond
+	maxDrainTime = 4 * time.Second
+	drainSlack   = 1 * time.Second
 )
 
 // drainNext cordons as many VMs as the next step of the wave can take down, and
@@ -92,7 +92,7 @@
 	}
 	steps := max((remaining+s.AtOnce-1)/s.AtOnce, 1)
 	left := s.Allowed - time.Duration(now.UnixMS-s.seenMS)*time.Millisecond
-	return min(max(left/time.Duration(steps)-c.params.Maintenance-drainSlack, drainMin), drainMax)
+	return min(max(left/time.Duration(steps)-c.params.Maintenance-drainSlack, minDrainTime), maxDrainTime)
 }
 
 // drainForMaintenance moves tasks off a cordoned worker. Tasks with checkpoints move
--- a/dispatch/members.go
+++ b/dispatch/members.go
@@ -113,6 +113,6 @@
 	w.info = info
 	grown := info.CPUMilli > before.CPUMilli || info.MemoryMiB > before.MemoryMiB || info.Accelerators > before.Accelerators
 	if grown || !slices.Equal(before.Labels, info.Labels) {
-		c.refusals.noteChange(w, false)
+		c.refusals.recordChange(w, false)
 	}
 }
--- a/dispatch/learnt.go
+++ b/dispatch/models_record.go
@@ -7,15 +7,15 @@
 
 // storedModels is what an owner stores of its models and of the demand of short tasks for the
 // next owner: some kilobytes. Of the covariances only the variances are stored.
-type learntState struct {
+type storedModels struct {
 	// Pairs are the coefficients by serving image and fill image.
-	Pairs map[string]map[string]learntPair `json:"pairs,omitempty"`
-	Times []learntTime                     `json:"times,omitempty"`
-	Short []learntShort                    `json:"short,omitempty"`
+	Pairs map[string]map[string]storedCoefficient `json:"pairs,omitempty"`
+	Times []storedRunTime                         `json:"times,omitempty"`
+	Short []storedDemand                          `json:"short,omitempty"`
 }
 
 // storedDemand is the demand of the short tasks of a service, in thousandths of a core.
-type learntShort struct {
+type storedDemand struct {
 	Service  string  `json:"service"`
 	Peak     float64 `json:"peak"`
 	Demand   float64 `json:"demand"`
@@ -24,13 +24,13 @@
 }
 
 // storedCoefficient is a coefficient of the interference model and its variance.
-type learntPair struct {
+type storedCoefficient struct {
 	Mean     float64 `json:"m"`
 	Variance float64 `json:"v"`
 }
 
 // storedRunTime is the average of the logarithms of the run times of a queue's tasks of one image.
-type learntTime struct {
+type storedRunTime struct {
 	Queue string  `json:"queue"`
 	Image string  `json:"image,omitempty"`
 	N     int     `json:"n"`
@@ -40,33 +40,33 @@
 // Parameters of the stored models.
 const (
 	// modelsPause is the minimum time between two records of the models.
-	learntPause = 3 * time.Second
+	modelsPause = 3 * time.Second
 	// loadedVarianceFactor widens a variance that is loaded, for what has changed
 	// since and for the covariances that are not stored.
-	learntVarianceFactor = 2
+	loadedVarianceFactor = 2
 )
 
 // ModelsDue reports whether the models should be recorded again.
-func (c *Core) LearntDue(now Instant) bool {
-	return (len(c.model.images) > 0 || c.reservesCapacity()) && now.Steady-c.learntAt >= learntPause
+func (c *Core) ModelsDue(now Instant) bool {
+	return (len(c.model.images) > 0 || c.reservesCapacity()) && now.Steady-c.learntAt >= modelsPause
 }
 
 // EncodeModels returns the encoded models, for the next owner.
-func (c *Core) Learnt(now Instant) ([]byte, error) {
+func (c *Core) EncodeModels(now Instant) ([]byte, error) {
 	c.learntAt = now.Steady
-	s := learntState{Pairs: make(map[string]map[string]learntPair, len(c.model.images))}
+	s := storedModels{Pairs: make(map[string]map[string]storedCoefficient, len(c.model.images))}
 	for serving, r := range c.model.images {
-		pairs := make(map[string]learntPair, len(r.index))
+		pairs := make(map[string]storedCoefficient, len(r.index))
 		for image, i := range r.index {
-			pairs[image] = learntPair{r.mean[i], r.cov[i][i]}
+			pairs[image] = storedCoefficient{r.mean[i], r.cov[i][i]}
 		}
 		s.Pairs[serving] = pairs
 	}
 	for key, r := range c.perfByKey {
-		s.Times = append(s.Times, learntTime{key.queue, key.image, r.n, r.log})
+		s.Times = append(s.Times, storedRunTime{key.queue, key.image, r.n, r.log})
 	}
 	for service, k := range c.reservedCapacity {
-		s.Short = append(s.Short, learntShort{service, k.peak, k.demand.mean, k.taskSize.mean, k.priority})
+		s.Short = append(s.Short, storedDemand{service, k.peak, k.demand.mean, k.taskSize.mean, k.priority})
 	}
 	return json.Marshal(&s)
 }
@@ -74,13 +74,13 @@
 // Bounds of loaded values, far outside of what is learned: a damaged record
 // must not lead to invalid values. A run time of e^12 s is two days.
 const (
-	mostCoefficient = 100.0
-	mostLogTime     = 12.0
+	maxCoefficient = 100.0
+	maxLogRunTime  = 12.0
 )
 
 // LoadModels loads the models that the previous owner stored.
-func (c *Core) TakeLearnt(value []byte) error {
-	var s learntState
+func (c *Core) LoadModels(value []byte) error {
+	var s storedModels
 	if err := json.Unmarshal(value, &s); err != nil {
 		return err
 	}
@@ -88,7 +88,7 @@
 		r := c.model.regression(serving)
 		for image, p := range pairs {
 			if i := r.find(image); i >= 0 {
-				r.mean[i], r.cov[i][i] = min(max(p.Mean, 0), mostCoefficient), min(max(p.Variance, 0)*learntVarianceFactor, priorPairVar)
+				r.mean[i], r.cov[i][i] = min(max(p.Mean, 0), maxCoefficient), min(max(p.Variance, 0)*loadedVarianceFactor, priorPairVar)
 			}
 		}
 	}
@@ -99,7 +99,7 @@
 		k.taskSize = average{x.Piece, demandWindow}
 	}
 	for _, t := range s.Times {
-		c.perfByKey[runTimeKey{t.Queue, t.Image}] = &runTimes{n: max(t.N, 0), log: min(max(t.Log, -mostLogTime), mostLogTime)}
+		c.perfByKey[runTimeKey{t.Queue, t.Image}] = &runTimes{n: max(t.N, 0), log: min(max(t.Log, -maxLogRunTime), maxLogRunTime)}
 	}
 	return nil
 }
--- a/dispatch/orders.go
+++ b/dispatch/orders.go
@@ -190,7 +190,7 @@
 }
 
 func (a *attempt) paceDone(o Order, ans Answer, now Instant) {
-	a.progress.at = 0 // a measurement spans one pace only
+	a.speed.at = 0 // a measurement spans one pace only
 	switch ans.Outcome {
 	case OutcomeOK:
 		a.ackedPace = o.Percent
--- a/dispatch/pace.go
+++ b/dispatch/pace.go
@@ -38,7 +38,7 @@
 	recentRun = 700 * time.Millisecond
 	// minPaceRead is the pace below which a reading of processor use does not
 	// predict what the fill would use at its full pace.
-	leastPaceRead = 40
+	minPaceRead = 40
 )
 
 // recordReading records the reading of a listed run: a tail latency or a processor use.
@@ -53,7 +53,7 @@
 		return
 	}
 	a.lastReading = float64(row.Reading)
-	if now.Steady-a.started < recentRun || a.ackedPace < leastPaceRead {
+	if now.Steady-a.started < recentRun || a.ackedPace < minPaceRead {
 		return
 	}
 	full := float64(row.Reading) * fullPace / float64(a.ackedPace)
@@ -67,10 +67,10 @@
 // adjustPaces sets the paces of the worker's fills: by the model, so that tail latencies
 // stay below their targets, and by the readings where the model is wrong.
 func (c *Core) adjustPaces(w *worker, now Instant) {
-	over := w.longestOver(now)
+	over := w.longestOverTarget(now)
 	w.overTarget = over
 	switch {
-	case over > 0 && over >= c.shareOfOver(throttleAfter):
+	case over > 0 && over >= c.overTargetTime(throttleAfter):
 		w.paceScale = max(w.paceScale*throttleFactor, 0.05)
 	case over == 0:
 		w.paceScale = min(w.paceScale*throttleRecovery, 1)
@@ -78,7 +78,7 @@
 	moves := 0
 	for _, p := range c.fillPaces(w, now) {
 		percent := p.percent
-		if over > 0 && (over >= c.shareOfOver(haltAllAfter) || over >= c.shareOfOver(haltAfter) && p.cost >= culpritCost) {
+		if over > 0 && (over >= c.overTargetTime(haltAllAfter) || over >= c.overTargetTime(haltAfter) && p.cost >= culpritCost) {
 			percent = 0
 		}
 		p.fill.trackSlowed(percent < movePace && p.cost >= culpritCost, now)
@@ -93,12 +93,12 @@
 }
 
 // overTargetTime returns a share of the time for which a task may be over its target.
-func (c *Core) shareOfOver(share float64) time.Duration {
+func (c *Core) overTargetTime(share float64) time.Duration {
 	return time.Duration(float64(c.params.OverTarget) * share)
 }
 
 // longestOverTarget returns the longest time for which a task of the worker has been over its target.
-func (w *worker) longestOver(now Instant) time.Duration {
+func (w *worker) longestOverTarget(now Instant) time.Duration {
 	longest := time.Duration(0)
 	for _, a := range w.attempts {
 		if a.tail.hasRead {
--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -35,7 +35,7 @@
 		}
 		p := pools[x.queue.Service]
 		if p == nil {
-			c.noteReopened(x.queue.Service, now)
+			c.recordUnblocked(x.queue.Service, now)
 			p = &pool{workers: c.poolOf(x.queue.Service, now)}
 			pools[x.queue.Service] = p
 		}
@@ -96,7 +96,7 @@
 		}
 		if w == nil {
 			if refusable {
-				c.refusals.noteRefused(x)
+				c.refusals.recordRefused(x)
 			}
 			c.freeCapacity(s, queue.Priority, p.workers, now)
 			return
--- a/dispatch/place_test.go
+++ b/dispatch/place_test.go
@@ -87,7 +87,7 @@
 			if t.suspectedCrashes() > 0 {
 				// It waits for a worker apart from other suspects, as workerForSuspect chooses it, and is
 				// tried again after suspectRetryInterval.
-				if w, _ := c.workerForSuspect(t, &pool{workers: workers}, now); w != nil && c.suspectWaitReason(t, now) == "" && now.Steady >= x.step.apartRetry {
+				if w, _ := c.workerForSuspect(t, &pool{workers: workers}, now); w != nil && c.suspectWaitReason(t, now) == "" && now.Steady >= x.step.suspectRetryAt {
 					return t
 				}
 				continue
--- a/dispatch/rank.go
+++ b/dispatch/rank.go
@@ -46,8 +46,8 @@
 	priority int
 	class    rankClass
 	// remainingShare is the share of a patient job's work that is not done, 0 for others.
-	left  float64
-	slack time.Duration
+	remainingShare float64
+	slack          time.Duration
 }
 
 // rankBasis holds the inputs of a step's rank except the time.
@@ -58,7 +58,7 @@
 	// objective is the time in which the job should end, criticalPath the length of
 	// the critical path of the work that is left.
 	objective, criticalPath time.Duration
-	left                    float64 // see rank
+	remainingShare          float64 // see rank
 }
 
 // rankAge is how long a basis is valid while the job makes no progress: estimates
@@ -75,7 +75,7 @@
 	s.basis = rankBasis{
 		at: now.Steady, version: j.version, known: true,
 		objective:    time.Duration(float64(c.totalCriticalPath(j))*q.Stretch) + q.TargetLatency,
-		criticalPath: c.criticalPath(j, s.occurrence), left: c.remainingShare(s),
+		criticalPath: c.criticalPath(j, s.occurrence), remainingShare: c.remainingShare(s),
 	}
 	return s.basis
 }
@@ -88,7 +88,7 @@
 }
 
 func (a rank) compare(b rank) int {
-	return cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(a.class, b.class), cmp.Compare(a.left, b.left), cmp.Compare(a.slack, b.slack))
+	return cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(a.class, b.class), cmp.Compare(a.remainingShare, b.remainingShare), cmp.Compare(a.slack, b.slack))
 }
 
 // rankOf returns a step's rank.
@@ -100,14 +100,14 @@
 		waited = time.Duration(now.UnixMS-due) * time.Millisecond
 	}
 	b := c.basisOf(s, q, now)
-	r.slack, r.left = b.objective-waited-b.criticalPath, b.left
+	r.slack, r.remainingShare = b.objective-waited-b.criticalPath, b.remainingShare
 	switch {
 	case s.spec.LongRunning:
 		r.class = rankLongRunning
 	case r.slack >= 0:
 		r.class = rankOnTime
 	case waited+b.criticalPath < lateFactor*b.objective && s.spec.Fills:
-		r.class, r.left = rankOnTime, b.left/lateValue
+		r.class, r.remainingShare = rankOnTime, b.remainingShare/lateValue
 	case waited+b.criticalPath < lateFactor*b.objective:
 		r.class = rankLate
 	default:
--- a/dispatch/refusals.go
+++ b/dispatch/refusals.go
@@ -67,7 +67,7 @@
 }
 
 // recordChange records that a worker may take what it refused; loadOnly is that of workerChange.
-func (r *refusals) noteChange(w *worker, loadOnly bool) {
+func (r *refusals) recordChange(w *worker, loadOnly bool) {
 	if len(r.changes) >= maxWorkerChanges {
 		half := maxWorkerChanges / 2
 		r.changes = append(r.changes[:0], r.changes[half:]...)
@@ -77,7 +77,7 @@
 }
 
 // recordRefused records that no worker takes tasks of a shape.
-func (r *refusals) noteRefused(x shape) {
+func (r *refusals) recordRefused(x shape) {
 	if r.shapes == nil || len(r.shapes) >= maxRefusedShapes {
 		r.shapes = map[shape]int{}
 	}
@@ -110,24 +110,24 @@
 		}
 	}
 	if len(list) > 0 {
-		c.refusals.noteRefused(x)
+		c.refusals.recordRefused(x)
 	}
 	return true
 }
 
 // recordUnblocked records a change of each of a service's workers that has just become able to
 // get tasks again: it is back in the pool, or no longer full or slow.
-func (c *Core) noteReopened(service string, now Instant) {
+func (c *Core) recordUnblocked(service string, now Instant) {
 	for _, w := range c.workersByService[service] {
-		g := gates{takesWork: c.inPool(w, service, now), full: now.Steady < w.fullUntil, slow: now.Steady < w.slowUntil}
-		if g.takesWork && !w.placementBlocks.takesWork || !g.full && w.placementBlocks.full || !g.slow && w.placementBlocks.slow {
-			c.refusals.noteChange(w, false)
+		g := placementBlocks{inPool: c.inPool(w, service, now), full: now.Steady < w.fullUntil, slow: now.Steady < w.slowUntil}
+		if g.inPool && !w.placementBlocks.inPool || !g.full && w.placementBlocks.full || !g.slow && w.placementBlocks.slow {
+			c.refusals.recordChange(w, false)
 		}
 		w.placementBlocks = g
 	}
 }
 
 // placementBlocks is whether a worker was in the pool, full and slow in the latest pass.
-type gates struct {
-	takesWork, full, slow bool
+type placementBlocks struct {
+	inPool, full, slow bool
 }
--- a/dispatch/reserved.go
+++ b/dispatch/reserved.go
@@ -101,7 +101,7 @@
 	chosen := k.pick(pool, int64(maxReservedShare*float64(size)))
 	for _, w := range c.workersByService[service] {
 		if w.isReserved && !chosen[w] {
-			c.refusals.noteChange(w, false)
+			c.refusals.recordChange(w, false)
 		}
 		w.isReserved = chosen[w]
 	}
--- a/dispatch/score.go
+++ b/dispatch/score.go
@@ -86,7 +86,7 @@
 // overTargetTooLong reports whether a task of the worker has been over its target for so long
 // that the worker's fills are halted: a new one would run until the next list is read.
 func (c *Core) overTargetTooLong(w *worker) bool {
-	return w.overTarget > 0 && w.overTarget >= c.shareOfOver(haltAfter)
+	return w.overTarget > 0 && w.overTarget >= c.overTargetTime(haltAfter)
 }
 
 // scoreLongRunning packs long-running tasks, each image beside tasks of the same image, so
--- a/dispatch/speed.go
+++ b/dispatch/speed.go
@@ -45,7 +45,7 @@
 )
 
 // speedTracker measures a task's speed at its worker.
-type progressTracker struct {
+type speedTracker struct {
 	percent int
 	at      time.Duration
 	// ratio is the newest measurement: expected run time at this speed, divided by the
@@ -56,14 +56,14 @@
 }
 
 // reset starts a new measurement.
-func (p *progressTracker) reset(percent int, now time.Duration) {
+func (p *speedTracker) reset(percent int, now time.Duration) {
 	p.percent, p.at = percent, now
 }
 
 // measureSpeed measures the speed of a listed run at full pace.
 func (c *Core) measureSpeed(a *attempt, percent int, now Instant) {
 	s := a.task.step
-	p := &a.progress
+	p := &a.speed
 	if s.spec.LongRunning || s.spec.Gang || a.stopping {
 		return
 	}
@@ -158,12 +158,12 @@
 	if now.Steady < w.slowUntil {
 		return
 	}
-	count := c.slowOf(w.info.Service, now)
+	count := c.slowCountOf(w.info.Service, now)
 	if count.share() >= maxSlowShare {
 		return
 	}
 	count.slow++
-	pause := min(slowPause<<min(w.slowStrikes, 3), avoidMax)
+	pause := min(slowPause<<min(w.slowStrikes, 3), maxAvoidPause)
 	w.slowStrikes++
 	w.slowUntil = now.Steady + pause
 	w.slowness, w.speedMeasures = 0, 0 // measured anew after the pause
@@ -189,7 +189,7 @@
 const slowCountAge = 100 * time.Millisecond
 
 // slowCountOf returns the count of a service's slow workers.
-func (c *Core) slowOf(service string, now Instant) *slowCount {
+func (c *Core) slowCountOf(service string, now Instant) *slowCount {
 	n := c.slowCounts[service]
 	if n == nil {
 		n = &slowCount{}
@@ -219,14 +219,14 @@
 // sooner at a healthy worker, including the work that it loses.
 func (c *Core) endsSoonerElsewhere(a *attempt) bool {
 	t := a.task
-	if a.stopping || t.phase != phaseRunning || a.progress.ratio < slowRatio || t.speedMoves >= maxSpeedMoves {
+	if a.stopping || t.phase != phaseRunning || a.speed.ratio < slowRatio || t.speedMoves >= maxSpeedMoves {
 		return false
 	}
-	left := float64(100-a.progress.percent) / 100
+	left := float64(100-a.speed.percent) / 100
 	usual := float64(t.step.usualRunTime(c))
 	elsewhere := usual + float64(moveOverhead)
 	if t.step.spec.Checkpoints {
 		elsewhere = usual*left + float64(moveOverhead)
 	}
-	return float64(a.progress.took)*left > moveGain*elsewhere
+	return float64(a.speed.took)*left > moveGain*elsewhere
 }
--- a/dispatch/tail.go
+++ b/dispatch/tail.go
@@ -12,7 +12,7 @@
 	clearRatio = 0.7
 	// readingWarmup is the time after the start of a serving task in which its readings
 	// are not representative.
-	firstReadings = 1 * time.Second
+	readingWarmup = 1 * time.Second
 	// priorBaseHeadroom is the headroom that a task is assumed to have without fills
 	// before its first readings: recorded ones swing between 1.6 and 4.
 	priorBaseHeadroom = 2.2
@@ -112,13 +112,13 @@
 		c.learnFrom(w, beside, now)
 	}
 	for _, a := range w.attempts {
-		if a.servesNow(now) {
+		if a.hasServingReading(now) {
 			a.tail.updateBaseHeadroom(c.model.cost(a.task.step.spec.Image, beside))
 		}
 	}
-	w.rebuild()
+	w.rebuildLoad()
 	c.adjustPaces(w, now)
-	c.refusals.noteChange(w, true)
+	c.refusals.recordChange(w, true)
 }
 
 // learnFrom updates the model with the difference between this list and the previous
@@ -127,7 +127,7 @@
 	changes := difference(beside, w.sample.pressures)
 	recent := now.Steady-w.sample.at <= sampleAge
 	for _, a := range w.attempts {
-		if !a.servesNow(now) {
+		if !a.hasServingReading(now) {
 			continue
 		}
 		h := a.tail.headroom()
@@ -141,9 +141,9 @@
 
 // hasServingReading reports whether the run is of a serving task (long-running, with a latency
 // target) past readingWarmup, and the list that is being processed has its reading.
-func (a *attempt) servesNow(now Instant) bool {
+func (a *attempt) hasServingReading(now Instant) bool {
 	s := a.task.step.spec
-	return s.LongRunning && s.TargetMS > 0 && a.tail.hasRead && a.tail.at == now.Steady && now.Steady-a.started > firstReadings
+	return s.LongRunning && s.TargetMS > 0 && a.tail.hasRead && a.tail.at == now.Steady && now.Steady-a.started > readingWarmup
 }
 
 // measuredPressures sums the newest readings of the worker's fills by image.
--- a/dispatch/trial.go
+++ b/dispatch/trial.go
@@ -60,7 +60,7 @@
 // placeSuspects starts the suspects of a step, each at a worker without another recently
 // started one, so that the next crash can be attributed to one of them.
 func (c *Core) placeSuspects(s *stepRun, p *pool, now Instant) {
-	if now.Steady < s.apartRetry {
+	if now.Steady < s.suspectRetryAt {
 		return
 	}
 	for _, t := range s.tasks {
@@ -69,7 +69,7 @@
 		}
 		w, separate := c.workerForSuspect(t, p, now)
 		if w == nil {
-			s.apartRetry = now.Steady + suspectRetryInterval
+			s.suspectRetryAt = now.Steady + suspectRetryInterval
 			c.freeCapacity(s, c.queues[s.job.spec.Queue].Priority, p.workers, now)
 			return
 		}
--- a/dispatch/worker.go
+++ b/dispatch/worker.go
@@ -114,10 +114,10 @@
 	slowStrikes             int           // times it was found slow; each doubles the next pause
 	slowness                float64       // logarithm of its run times relative to the usual ones, smoothed
 	speedMeasures           int
-	overTarget              time.Duration // how long a task was over its target, by the newest list
-	paceScale               float64       // factor on the paces of its fill tasks, up to 1
-	recorded                bool          // the stored roster has an open entry of it; see roster
-	placementBlocks         gates         // as of the latest pass
+	overTarget              time.Duration   // how long a task was over its target, by the newest list
+	paceScale               float64         // factor on the paces of its fill tasks, up to 1
+	recorded                bool            // the stored roster has an open entry of it; see roster
+	placementBlocks         placementBlocks // as of the latest pass
 }
 
 // resources is an amount of a worker's capacity that tasks use.
