--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -123,7 +123,7 @@
 	ratedScratch     ratedWorkers
 	candidateScratch []candidate
 	adviceRequests   []AdviceRequest // not taken yet
-	learntAt         time.Duration   // when the learned state was last stored
+	modelsStoredAt   time.Duration   // when the learned state was last stored
 	dropped          droppedJobs
 	deferred         []deferredJob // jobs that arrived while the lease was not held for certain
 	// cancelled holds jobs that were cancelled before they arrived, and when the
@@ -157,7 +157,7 @@
 	demand            fillDemand
 	reservedCapacity  map[string]*reservedCapacity // by service
 	stats             Stats
-	perfByKey         map[runTimeKey]*runTimes
+	runTimesByKey     map[runTimeKey]*runTimes
 }
 
 // Stats are counters of the core's decisions.
@@ -233,7 +233,7 @@
 		lostIncarnations: map[string]lostIncarnation{}, crashed: map[string]crashRecord{}, fellSilent: map[string]time.Duration{},
 		workers: map[WorkerID]*worker{}, workersByVM: map[string][]*worker{}, incarnationsByName: map[string]*sameIDIncarnations{}, workersByService: map[string][]*worker{}, workersByRack: map[string][]*worker{}, unstoredEnds: map[*worker]bool{}, slowCounts: map[string]*slowCount{}, ended: map[WorkerID]bool{}, recordedStarts: map[WorkerID][]recordedStart{}, unresolved: map[WorkerID]unresolvedWorker{},
 		roster: newRoster(), dirty: map[*jobState]uint64{}, waves: map[int64]*waveState{}, trace: trace,
-		model: newInterference(), demand: fillDemand{}, reservedCapacity: map[string]*reservedCapacity{}, perfByKey: map[runTimeKey]*runTimes{},
+		model: newInterference(), demand: fillDemand{}, reservedCapacity: map[string]*reservedCapacity{}, runTimesByKey: map[runTimeKey]*runTimes{},
 	}
 }
 
--- a/dispatch/models_record.go
+++ b/dispatch/models_record.go
@@ -48,12 +48,12 @@
 
 // ModelsDue reports whether the models should be recorded again.
 func (c *Core) ModelsDue(now Instant) bool {
-	return (len(c.model.images) > 0 || c.reservesCapacity()) && now.Steady-c.learntAt >= modelsPause
+	return (len(c.model.images) > 0 || c.reservesCapacity()) && now.Steady-c.modelsStoredAt >= modelsPause
 }
 
 // EncodeModels returns the encoded models, for the next owner.
 func (c *Core) EncodeModels(now Instant) ([]byte, error) {
-	c.learntAt = now.Steady
+	c.modelsStoredAt = now.Steady
 	s := storedModels{Pairs: make(map[string]map[string]storedCoefficient, len(c.model.images))}
 	for serving, r := range c.model.images {
 		pairs := make(map[string]storedCoefficient, len(r.index))
@@ -62,7 +62,7 @@
 		}
 		s.Pairs[serving] = pairs
 	}
-	for key, r := range c.perfByKey {
+	for key, r := range c.runTimesByKey {
 		s.Times = append(s.Times, storedRunTime{key.queue, key.image, r.n, r.log})
 	}
 	for service, k := range c.reservedCapacity {
@@ -99,7 +99,7 @@
 		k.taskSize = average{x.Piece, demandWindow}
 	}
 	for _, t := range s.Times {
-		c.perfByKey[runTimeKey{t.Queue, t.Image}] = &runTimes{n: max(t.N, 0), log: min(max(t.Log, -maxLogRunTime), maxLogRunTime)}
+		c.runTimesByKey[runTimeKey{t.Queue, t.Image}] = &runTimes{n: max(t.N, 0), log: min(max(t.Log, -maxLogRunTime), maxLogRunTime)}
 	}
 	return nil
 }
--- a/dispatch/reserved_test.go
+++ b/dispatch/reserved_test.go
@@ -245,9 +245,9 @@
 	}
 }
 
-// TestClearingRespectsMaxAway: while short tasks wait, long-running ones are moved off reserved
+// TestClearingRespectsMaxUnavailable: while short tasks wait, long-running ones are moved off reserved
 // workers, of each step no more at a time than may be unavailable.
-func TestClearingRespectsMaxAway(t *testing.T) {
+func TestClearingRespectsMaxUnavailable(t *testing.T) {
 	core, now := idleCore(t, 8)
 	spec := longRunningJob(1, 16)
 	spec.Steps[0].CPUMilli, spec.Steps[0].MaxUnavailable = 1500, 2
--- a/dispatch/runtimes.go
+++ b/dispatch/runtimes.go
@@ -35,10 +35,10 @@
 		return
 	}
 	key := runTimeKey{s.job.spec.Queue, s.spec.Image}
-	r := c.perfByKey[key]
+	r := c.runTimesByKey[key]
 	if r == nil {
 		r = &runTimes{}
-		c.perfByKey[key] = r
+		c.runTimesByKey[key] = r
 	}
 	r.add(now.Steady - a.started)
 }
@@ -47,7 +47,7 @@
 // the submitter's estimate and the run times of its queue and image.
 func (c *Core) estimate(s *stepRun) time.Duration {
 	guess := s.spec.Estimate()
-	r := c.perfByKey[runTimeKey{s.job.spec.Queue, s.spec.Image}]
+	r := c.runTimesByKey[runTimeKey{s.job.spec.Queue, s.spec.Image}]
 	switch {
 	case r == nil || r.n == 0:
 		return guess
--- a/dispatch/speed.go
+++ b/dispatch/speed.go
@@ -120,7 +120,7 @@
 	if s.runTimeSamples >= minPeers {
 		return time.Duration(float64(s.shortestRunTime) * peerFactor)
 	}
-	r := c.perfByKey[runTimeKey{s.job.spec.Queue, s.spec.Image}]
+	r := c.runTimesByKey[runTimeKey{s.job.spec.Queue, s.spec.Image}]
 	if r == nil || r.n < minPeers {
 		return 0
 	}
