--- a/job/config.go
+++ b/job/config.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// Queue is where jobs are submitted; its name is the group that they are counted for.
+// Queue is a destination of submitted jobs; jobs are counted under its name.
 type Queue struct {
-	Name       string
+	Name string
+	// Host and PathPrefix select the queue of a request.
 	Host       string
 	PathPrefix string
 	// Service is the pool of workers that runs the queue's tasks.
--- a/job/progress.go
+++ b/job/progress.go
@@ -146,7 +146,7 @@
 // maxStarts bounds the starts that are kept of a task; a gang has one for each member.
 const maxStarts = 64
 
-// AddStart records a start.
+// AddStart records a start, and drops the oldest beyond maxStarts.
 func (p *Progress) AddStart(t TaskID, start Start) {
 	if p.Starts == nil {
 		p.Starts = map[string][]Start{}
@@ -205,7 +205,7 @@
 // ClearCrashes removes the crashes of a task.
 func (p *Progress) ClearCrashes(t TaskID) { delete(p.Crashes, t.ProgressKey()) }
 
-// Check reports whether the progress can be that of a job: each bitmap belongs to one
+// Check returns an error unless the progress can be that of a job: each bitmap belongs to one
 // of its steps and has that step's length, and each failure, start and crash belongs to
 // one of its tasks. A damaged record would make tasks run again, or set a bit outside
 // its bitmap.
--- a/job/spec.go
+++ b/job/spec.go
@@ -36,7 +36,8 @@
 	// AcceptedMS is when an entry accepted the job, milliseconds since 1970
 	// by that entry's clock.
 	AcceptedMS int64 `json:"accepted_ms"`
-	// Occurrences above 0 repeats the steps at fixed intervals.
+	// Occurrences, if above 0, is how often all steps run, at fixed intervals; each time is
+	// one occurrence.
 	Occurrences int   `json:"occurrences,omitempty"`
 	FirstDueMS  int64 `json:"first_due_ms,omitempty"`
 	IntervalMS  int64 `json:"interval_ms,omitempty"`
@@ -54,9 +55,9 @@
 	After []int `json:"after,omitempty"`
 	// Checkpoints is set if a stopped task can resume from a checkpoint.
 	Checkpoints bool `json:"checkpoints,omitempty"`
-	// Gang tasks work only all together, and share one run number.
+	// Gang is set if the tasks work only all together; they share one run number.
 	Gang bool `json:"gang,omitempty"`
-	// SameRack gangs are slower when spread over racks.
+	// SameRack is set if the gang is slower when spread over racks.
 	SameRack bool `json:"same_rack,omitempty"`
 	// Requires is a label that the worker must have.
 	Requires string `json:"requires,omitempty"`
@@ -64,9 +65,9 @@
 	DataRack string `json:"data_rack,omitempty"`
 	// MaxPerWorker bounds the step's tasks on one worker; 0 means no bound.
 	MaxPerWorker int `json:"max_per_worker,omitempty"`
-	// Speculative tasks may run in several copies at once.
+	// Speculative is set if a task may run in several copies at once.
 	Speculative bool `json:"speculative,omitempty"`
-	// LongRunning tasks run until the job is cancelled.
+	// LongRunning is set if the tasks run until the job is cancelled.
 	LongRunning bool `json:"lasting,omitempty"`
 	// Image names the program; tasks of one image behave similarly.
 	Image string `json:"image,omitempty"`
--- a/node/admit.go
+++ b/node/admit.go
@@ -12,7 +12,8 @@
 	"leverstile.dev/kv"
 )
 
-// Limits of admission.
+// Limits of admission: the owner's check, before a job is recorded, whether there will be
+// capacity for it.
 const (
 	// admitTimeout bounds the call to the owner. A job whose answer is late is
 	// recorded: only the early refusal is lost.
@@ -46,7 +47,7 @@
 // they are few and occupy their capacity for long. Short jobs do only while some wait.
 func (n *Node) needsAdmission(spec *job.Spec) bool {
 	if n.current.Load() != nil {
-		return true // it costs no call
+		return true // the owner checks without a call
 	}
 	return spec.LongRunning() || int64(n.clock()) < n.crowdedUntil.Load()
 }
@@ -102,6 +103,7 @@
 	return o.core.Admit(spec, o.now())
 }
 
+// crowded reports whether short jobs wait for capacity.
 func (o *owner) crowded() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/node/campaign.go
+++ b/node/campaign.go
@@ -34,7 +34,8 @@
 	return handicap(opts.ProcessorShare) + max(time.Duration(slots*float64(campaignSlot)), time.Nanosecond)
 }
 
-// campaignDraw returns a number above 0 and up to 1 that depends on the entry and the revision.
+// campaignDraw returns a pseudorandom number above 0 and up to 1, the same for each call with
+// an entry and a revision.
 func campaignDraw(entry string, revision int64) float64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(entry))
--- a/node/config.go
+++ b/node/config.go
@@ -5,8 +5,8 @@
 	"leverstile.dev/kv"
 )
 
-// applyConfig puts a version of the configuration into force unless a newer one is. One
-// that can't be read changes nothing.
+// applyConfig puts a version of the configuration into force unless the same or a newer
+// one is. A configuration that can't be decoded changes nothing.
 func (n *Node) applyConfig(p kv.Pair) {
 	c, err := n.opts.DecodeConfig(p.Value)
 	if err != nil {
--- a/node/contact.go
+++ b/node/contact.go
@@ -14,14 +14,14 @@
 	// pause counts as a freeze.
 	freezeMargin = 200 * time.Millisecond
 	// slotTimeout is how long an order may wait to be sent: a start must arrive
-	// 1.4 s after it was decided, tries included.
+	// within 1.4 s of its decision, retries included.
 	slotTimeout = 500 * time.Millisecond
-	// repollInterval is the least pause between checks for workers without a poller.
+	// pollerCheckInterval is the shortest pause between checks for workers without a poller.
 	repollInterval = 50 * time.Millisecond
 )
 
-// syncPollers starts a poller for each worker that has none, and ends those of workers
-// that are gone.
+// syncPollers starts a poller, a goroutine that runs pollLoop, for each worker that has none,
+// and ends the pollers of workers that are gone.
 func (o *owner) syncPollers() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -91,7 +91,7 @@
 			}
 		})
 		if plan.Gone {
-			signal(o.repoll) // its next incarnation may be known
+			signal(o.repoll) // the worker's next incarnation may be listed
 			return
 		}
 		if !plan.Send {
@@ -118,7 +118,7 @@
 func (o *owner) send(order dispatch.Order) {
 	if order.Kind != dispatch.OrderStop {
 		if !o.awaitSlot() {
-			// Never sent. The core decides anew, with its current state.
+			// The order was never sent. The core decides again with its current state.
 			o.locked(func(c *dispatch.Core, now dispatch.Instant) {
 				c.OrderDone(order, dispatch.Answer{Outcome: dispatch.OutcomeNotSent}, now)
 			})
@@ -139,8 +139,8 @@
 	}
 }
 
-// awaitSlot waits until another call may be in flight. It reports
-// false after slotTimeout: the order is out of date then.
+// awaitSlot waits until one more order may be in flight. It reports false after
+// slotTimeout, when the order is out of date, and once the ownership has ended.
 func (o *owner) awaitSlot() bool {
 	select {
 	case o.slots <- struct{}{}:
@@ -187,8 +187,8 @@
 	return false
 }
 
-// detectFreeze suspends orders if the process did not run for a while, since the
-// lease may have expired. The next renewal resumes them.
+// detectFreeze suspends calls to workers after a freeze, a time in which the process did
+// not run: the lease may have expired. The next renewal resumes them.
 func (o *owner) detectFreeze() {
 	now := o.node.clock()
 	if pause := now - o.lastAlive; pause > tickInterval+o.node.opts.FreezeSlack+freezeMargin && !o.suspended {
@@ -198,10 +198,10 @@
 	o.lastAlive = max(o.lastAlive, now)
 }
 
-// requestAdvice makes one call to the placement policy; others wait their turn.
+// requestAdvice makes one call to the placement policy, once no other is in flight.
 func (o *owner) requestAdvice(req dispatch.AdviceRequest) {
 	o.adviceMu.Lock()
-	good, err := o.node.advisor.Advise(o.ctx, req)
+	tickets, err := o.node.advisor.Advise(o.ctx, req)
 	o.adviceMu.Unlock()
 	if o.ctx.Err() != nil {
 		return
@@ -209,6 +209,6 @@
 	if err != nil {
 		o.node.log.Warn().Str("event", "advice_unanswered").Str("task", req.Task.String()).Err(err).Msg("")
 	}
-	o.locked(func(c *dispatch.Core, now dispatch.Instant) { c.AdviceDone(req, good, err == nil, now) })
+	o.locked(func(c *dispatch.Core, now dispatch.Instant) { c.AdviceDone(req, tickets, err == nil, now) })
 	signal(o.wake)
 }
--- a/node/election.go
+++ b/node/election.go
@@ -94,7 +94,7 @@
 	return err
 }
 
-// awaitTurn watches who owns the cell until this entry may take over: nobody has owned
+// awaitEligible watches who owns the cell until this entry may take over: nobody has owned
 // it for the entry's delay, or an earlier process of the entry does. A VM runs one
 // process, so the earlier one has ended.
 func (e *election) awaitTurn(ctx context.Context) (leadState, error) {
@@ -184,8 +184,8 @@
 }
 
 // watchLead returns how the owner's key is watched. A weak VM, which takes over only if
-// there is no other, need not learn of a change at once where the store leaves its watch
-// unanswered.
+// there is no other, may learn of a change some seconds late when the store leaves its
+// watch unanswered.
 func (e *election) watchLead() watchFunc {
 	if handicap(e.node.opts.ProcessorShare) > 0 {
 		return e.node.store.WatchPatiently
@@ -218,13 +218,15 @@
 	return changed
 }
 
-// ownership is a term that was won.
+// ownership is a term that this entry won, with its lease at the store.
 type ownership struct {
-	lead     leadRecord
-	lease    int64
+	lead  leadRecord
+	lease int64
+	// leadRev and chainRev are the revisions at which leadKey and chainKey were last written;
+	// the owner's writes require that the keys are unchanged.
 	leadRev  int64
 	chainRev int64
-	// renewed is when the last answered renewal was sent.
+	// lastRenewal is when the last answered renewal was sent.
 	renewed time.Duration
 }
 
--- a/node/evacuations.go
+++ b/node/evacuations.go
@@ -15,7 +15,8 @@
 	"leverstile.dev/kv"
 )
 
-// evacuation is the state of a data centre as of a revision of the store.
+// evacuation is the state of a data centre as of a revision of the store. While a data
+// centre is evacuated, its workers get no new tasks.
 type evacuation struct {
 	dataCentre string
 	revision   int64
@@ -89,7 +90,8 @@
 	return list
 }
 
-// evacuationsListed returns the updates of a full read of the operators' keys.
+// evacuationsListed returns the updates of a full read of the operators' keys or of the
+// evacuation keys alone.
 func (n *Node) evacuationsListed(pairs []kv.Pair, revision int64) []evacuation {
 	var list []evacuation
 	named := map[string]bool{}
@@ -146,7 +148,7 @@
 	core.SetEvacuated(o.node.evacuations.evacuated())
 }
 
-// relayEvacuations reports changes that this entry has seen to the owner. The store may
+// reportEvacuations reports changes that this entry has read to the owner. The store may
 // refuse the owner alone, for seconds, while it accepts the operators' writes.
 func (n *Node) relayEvacuations(updates []evacuation) {
 	req := &jobsv1.NoteEvacuationsRequest{}
@@ -169,7 +171,8 @@
 	return connect.NewResponse(&jobsv1.NoteEvacuationsResponse{}), nil
 }
 
-// applyRelayedEvacuations applies updates of another entry. They are not relayed further.
+// applyReportedEvacuations applies updates of another entry if this entry is the owner; any
+// other entry ignores them.
 func (n *Node) applyRelayedEvacuations(updates []evacuation) {
 	if n.current.Load() != nil {
 		n.updateEvacuations(updates)
--- a/node/hint.go
+++ b/node/hint.go
@@ -13,9 +13,10 @@
 	"leverstile.dev/kv"
 )
 
-// Limits of hints: calls by which an entry reports a new record to the owner.
+// Limits of hints: calls by which an entry reports a new job, cancellation or evacuation to
+// the owner, which also watches the store for them.
 const (
-	// hintMaxAge is how old a job may be for its hint to count: far less than the time for
+	// maxHintAge is how old a job may be for its hint to count: far less than the time for
 	// which records are kept, so that no job that ended long ago is taken for a new one.
 	// The clocks of two VMs may be some seconds apart.
 	hintMaxAge = 20 * time.Second
@@ -24,8 +25,8 @@
 )
 
 // hintOwner reports a new record of this entry to the owner. The owner's watch reports
-// it too, but can be silent for seconds while the store serves others. A hint that is
-// lost costs nothing else.
+// it too, but can be silent for seconds while the store serves others. If a hint is lost,
+// the record is processed when the watch reports it.
 func (n *Node) hintOwner(id string, record []byte) {
 	if o := n.current.Load(); o != nil {
 		o.processHint(id, record)
@@ -40,7 +41,7 @@
 	})
 }
 
-// notifyOwner calls the owner in the background, if an owner is known and fewer than
+// notifyOwner sends the owner a hint in the background, if an owner is known and fewer than
 // maxHints calls are under way.
 func (n *Node) notifyOwner(what string, call func(context.Context, jobsv1connect.OwnerClient) error) {
 	client := n.ownerClient()
@@ -74,7 +75,7 @@
 	return connect.NewResponse(&jobsv1.NoteIntakeResponse{Crowded: o.crowded()}), nil
 }
 
-// processHint processes a job, or a cancellation if there is no record.
+// processHint processes a hint of a job, or of a cancellation if there is no record.
 func (o *owner) processHint(id string, record []byte) {
 	if len(record) == 0 {
 		o.processIntake([]kv.Event{{Pair: kv.Pair{Key: cancelPrefix + id}}})
@@ -92,6 +93,7 @@
 	o.processIntake([]kv.Event{{Pair: kv.Pair{Key: jobPrefix + id, Value: record}}})
 }
 
+// freshHint reports whether a job is recent enough for its hint to count.
 func freshHint(spec *job.Spec, now dispatch.Instant) bool {
 	return now.UnixMS-spec.AcceptedMS < hintMaxAge.Milliseconds()
 }
--- a/node/intake.go
+++ b/node/intake.go
@@ -48,8 +48,8 @@
 // Submission is the result of a submitted job.
 type Submission struct {
 	Recorded Recorded
-	// RetryAfter is when to submit again a job that was not recorded, 0 if
-	// that is unknown.
+	// RetryAfter is the delay after which to submit a job again that was not recorded;
+	// 0 means unknown.
 	RetryAfter time.Duration
 }
 
@@ -73,6 +73,8 @@
 	return result
 }
 
+// submitRecord writes a job to the store, through the owner or another entry if the store
+// does not answer this one.
 func (n *Node) submitRecord(ctx context.Context, id string, value []byte) Recorded {
 	if n.store.Down() {
 		if o := n.current.Load(); o != nil {
@@ -98,7 +100,7 @@
 }
 
 // create writes a key if it does not exist. A key that exists counts as written: the
-// same customer wrote it before. Fresh is true if this call wrote it.
+// same customer wrote it before. The result fresh is true if this call wrote it.
 func (n *Node) create(ctx context.Context, key string, value []byte) (recorded Recorded, fresh bool) {
 	began := n.clock()
 	wait := backoff{minDelay: writeRetryMin, maxDelay: writeRetryMax}
@@ -196,10 +198,10 @@
 	return o.core.Pending(queue)
 }
 
-// pendingMaxAge is how old a count of pending jobs may be; customers allow 2 s.
+// maxPendingAge is how old a count of pending jobs may be; customers allow 2 s.
 const pendingMaxAge = 300 * time.Millisecond
 
-// pendingCache caches counts of pending jobs for pendingMaxAge. Its lock guards counts.
+// pendingCache caches counts of pending jobs for maxPendingAge. Its lock guards counts.
 type pendingCache struct {
 	mu     sync.Mutex
 	counts map[string]pendingCount
--- a/node/intakeloop.go
+++ b/node/intakeloop.go
@@ -12,7 +12,7 @@
 
 // Limits of reads of the list of workers.
 const (
-	// listPause is the shortest pause between reads of the list of workers.
+	// minListPause is the shortest pause between reads of the list of workers.
 	listPause = 700 * time.Millisecond
 	// listEntryBytes is the largest size of a worker's entry in an answer of the store
 	// (typically 437 bytes); listLinkShare is the part of the link that reads of the list
@@ -37,7 +37,7 @@
 	return pause
 }
 
-// intakeLoop processes jobs and cancellations as entries record them.
+// intakeLoop watches the intake and processes jobs and cancellations as entries record them.
 func (o *owner) intakeLoop(rev int64) {
 	wait := backoff{minDelay: loadRetryMin, maxDelay: loadRetryMax}
 	for o.ctx.Err() == nil {
@@ -71,7 +71,7 @@
 	}
 }
 
-// recordIntakeRevision tells the core up to which revision it has received all jobs.
+// recordIntakeRevision reports to the core up to which revision it has received all jobs.
 func (o *owner) recordIntakeRevision(rev int64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/node/load.go
+++ b/node/load.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// loadRetryMin and loadRetryMax bound the pause between tries to read the store at
-	// takeover.
+	// loadRetryMin and loadRetryMax bound the pause between tries to read the store at a
+	// takeover, and to watch the intake.
 	loadRetryMin = 50 * time.Millisecond
 	loadRetryMax = 500 * time.Millisecond
 )
 
-// load builds the core from the store. It returns the revision from which the
-// intake is watched.
+// load builds the core from the store after a takeover. It returns the revision from which
+// the intake is watched.
 func (o *owner) load() (int64, error) {
 	wait := backoff{minDelay: loadRetryMin, maxDelay: loadRetryMax}
 	s := &storedState{}
@@ -95,8 +95,8 @@
 }
 
 // readState reads all parts concurrently; a further call reads those that failed before.
-// Their order does not matter: only the owner writes the first two, and its predecessors
-// no longer can; changes of the third are watched. Evacuations and workers are read anew
+// Their order does not matter: only owners write own and progress, and the previous ones no
+// longer can; changes of intake are watched. Evacuations and workers are read anew
 // each time.
 func (n *Node) readState(ctx context.Context, s *storedState) error {
 	var group errgroup.Group // without a context: a part that fails does not stop the others
--- a/node/maintenance.go
+++ b/node/maintenance.go
@@ -10,8 +10,9 @@
 	"leverstile.dev/kv"
 )
 
-// wavePrefix is where the owner stores the progress of maintenance waves, under
-// their numbers.
+// wavePrefix is where the owner stores the progress of maintenance waves under their
+// numbers. A wave is the operators' request for the maintenance of a list of VMs, of which
+// only some may be down at once.
 const wavePrefix = ownPrefix + "wave/"
 
 func waveKey(number int64) string { return wavePrefix + strconv.FormatInt(number, 10) }
@@ -81,7 +82,7 @@
 	}
 }
 
-// beginMaintenance makes one maintenance call for a VM and records the outcome.
+// startMaintenance makes one call that starts the maintenance of a VM and records the outcome.
 func (o *owner) beginMaintenance(order dispatch.MaintenanceOrder) {
 	outcome := dispatch.MaintenanceUnknown
 	if o.node.vms != nil && o.mayAct(o.ctx) {
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -57,7 +57,7 @@
 	return 0
 }
 
-// registerRunMetrics exposes the counters of the core while this is the owner.
+// registerRunMetrics exposes the core's counters of runs while this entry is the owner.
 func (n *Node) registerRunMetrics() {
 	for name, field := range map[string]func(dispatch.Stats) uint64{
 		"starts": func(s dispatch.Stats) uint64 { return s.Starts }, "done": func(s dispatch.Stats) uint64 { return s.Done },
--- a/node/node.go
+++ b/node/node.go
@@ -59,7 +59,9 @@
 	metrics nodeMetrics
 	steady  *clock.Clock
 
-	config   atomic.Pointer[job.Config]
+	config atomic.Pointer[job.Config]
+	// current is this entry's ownership, nil while another entry or none owns the cell; lead
+	// is the cell's owner as this entry knows it.
 	current  atomic.Pointer[owner]
 	lead     atomic.Pointer[leadRecord]
 	draining atomic.Bool
@@ -71,11 +73,11 @@
 	pending         pendingCache
 	wall            wallClock
 	waves           waveList
-	// badEntries are unusable entries of workers, badKeys other keys that can't be
-	// read; unusable is the number of the former.
+	// badWorkerEntries are the workers' entries in the list of workers that can't be used,
+	// badKeys other keys that can't be read; unusable is the number of the former.
 	badEntries, badKeys reportedProblems
 	unusable            atomic.Int64
-	// evacuations are the evacuated data centres that this entry has a record of.
+	// evacuations are the states of data centres that this entry has read or received.
 	evacuations evacuationList
 	hints       chan struct{} // holds one value per hint in progress
 	// relays are entries that the store has answered recently; relayed is set while one of
@@ -119,8 +121,8 @@
 	return (&election{node: n}).run(ctx)
 }
 
-// Drain makes the node not ready and hands over an ownership. The node keeps serving
-// calls.
+// Drain makes the node not ready and, if it is the owner, hands the cell over. The node
+// keeps serving calls.
 func (n *Node) Drain() {
 	if n.draining.CompareAndSwap(false, true) {
 		close(n.drained)
@@ -132,6 +134,7 @@
 	return !n.draining.Load() && n.config.Load() != nil && n.store.outage() < unreadyOutage
 }
 
+// setOwner records the owner of the cell, nil if there is none, and logs a new one.
 func (n *Node) setOwner(lead *leadRecord) {
 	before := n.lead.Swap(lead)
 	if lead == nil || (before != nil && before.Session == lead.Session) {
@@ -140,6 +143,7 @@
 	n.log.Info().Str("event", "owner_seen").Str("owner", lead.Entry).Uint64("term", lead.Term).Msg("")
 }
 
+// storeChanged logs that the store has begun or ceased to answer this entry.
 func (n *Node) storeChanged(up bool, err error) {
 	if up {
 		n.relayed.Store(false)
--- a/node/operators.go
+++ b/node/operators.go
@@ -16,7 +16,8 @@
 	operatorsRetryMax = 400 * time.Millisecond
 )
 
-// operatorsFollower watches the operators' keys.
+// operatorsFollower watches the keys that the operators write: the configuration, evacuations
+// and maintenance waves.
 type operatorsFollower struct {
 	node *Node
 	// read is set once all keys have been read; revision is the store's revision up to
@@ -26,9 +27,8 @@
 	wait     backoff
 }
 
-// RunOperators applies changes of the operators' keys until ctx ends: the configuration,
-// evacuations and maintenance waves. The store ends a watch without events within
-// 1.5 s, and it is restarted.
+// RunOperators applies changes of the operators' keys until ctx ends. The store ends a watch
+// without events within 1.5 s, and it is restarted.
 func (n *Node) RunOperators(ctx context.Context) error {
 	f := &operatorsFollower{node: n, wait: backoff{minDelay: operatorsRetryMin, maxDelay: operatorsRetryMax}}
 	for ctx.Err() == nil {
--- a/node/owner.go
+++ b/node/owner.go
@@ -19,19 +19,20 @@
 	tickInterval = 100 * time.Millisecond
 	// scheduleInterval is the shortest pause between scheduling passes of the core.
 	scheduleInterval = 8 * time.Millisecond
-	// maxOrders is the most orders in flight at once; more wait. At 1,000 starts a second
+	// maxOrders is the most orders in flight at once; further ones wait. At 1,000 starts a second
 	// and 5 ms a call, 5 are in flight. Stops and polls don't wait: running tasks must not
 	// be lost.
 	maxOrders = 256
-	// On a small link fewer orders are in flight: as many as it carries in linkWindow, at
-	// orderBytes a start, mostly the job's payload. A call times out after 400 ms and is
-	// sent again: with 256 in flight on 2 Mbit/s, 1,205 calls got no answer in the first
-	// 4 s, 291 starts were confirmed, and leases expired since polls came late. With this
-	// bound 0.17 instead of 0.05 of the work was served there, and no lease expired on a
-	// day with few faults; half and twice of linkWindow give the same result.
+	// linkWindow bounds the orders in flight on a small link to what it carries in that
+	// time, at orderBytes a start, which are mostly the job's payload. A call times out
+	// after 400 ms and is sent again: with 256 in flight on 2 Mbit/s, 1,205 calls got no
+	// answer in the first 4 s, 291 starts were confirmed, and leases expired since polls
+	// came late. With this bound 0.17 instead of 0.05 of the work was served there, and no
+	// lease expired on a day without faults; half and twice of linkWindow give the same
+	// result.
 	linkWindow = 100 * time.Millisecond
 	orderBytes = 2700
-	// minOrders may be in flight however small the link.
+	// minOrders may be in flight however small the link is.
 	minOrders = 8
 	// maxHandoverWrites is the most writes at a handover: one of maxFlushRecords jobs
 	// mostly holds all. The first is refused if the write that the end of the ownership
@@ -54,7 +55,7 @@
 // errNotOwner ends an ownership.
 var errNotOwner = errors.New("no longer the owner")
 
-// owner runs the core for one term. mu guards core and polled; no call is made
+// owner runs the core for one term. mu guards core and pollers; no call is made
 // while it is held.
 type owner struct {
 	node *Node
@@ -71,10 +72,11 @@
 	mu               sync.Mutex
 	core             *dispatch.Core
 	polled           map[dispatch.WorkerID]context.CancelFunc
-	// firstPolls paces the first poll of each worker: after a takeover all are due at once.
+	// firstPolls delays the first poll of each worker: after a takeover all are due at once.
 	firstPolls *pacer
 
-	// slots holds a value for each start or change of pace in flight.
+	// slots holds a value for each order in flight other than stops: starts and changes of
+	// a run's pace, its CPU share limit.
 	slots chan struct{}
 	// longestWait is the longest time that an order waited to be sent since the last
 	// tick, in nanoseconds.
@@ -93,7 +95,8 @@
 	// waveRecords are the stored records of maintenance waves at the takeover, by key.
 	// They don't change after the core is in place.
 	waveRecords map[string][]byte
-	suspended   bool
+	// suspended is set after a freeze until the lease is renewed; meanwhile no call to a worker is made.
+	suspended bool
 }
 
 // runOwner owns the cell until the ownership ends.
@@ -110,7 +113,7 @@
 	rev, err := o.load()
 	if err == nil {
 		n.current.Store(o)
-		o.locked(o.applyWaves) // one may have been seen since the load
+		o.locked(o.applyWaves) // a wave may have been read since the load
 		o.locked(o.applyEvacuations)
 		o.running.Go(func() { o.intakeLoop(rev) })
 		o.running.Go(o.listLoop)
@@ -124,9 +127,9 @@
 		}
 	}
 	cause := context.Cause(octx)
-	ours := octx.Err() == nil || ctx.Err() != nil
+	stillOwner := octx.Err() == nil || ctx.Err() != nil
 	o.end()
-	if ours {
+	if stillOwner {
 		o.handOver()
 	}
 	n.log.Info().Str("event", "owner_end").Uint64("term", own.lead.Term).Err(cause).Msg("")
@@ -188,7 +191,7 @@
 	now := o.now()
 	f(o.core, now)
 	orders := o.core.TakeOrders()
-	asks := o.core.TakeAdviceRequests()
+	adviceRequests := o.core.TakeAdviceRequests()
 	maintenanceOrders := o.core.TakeMaintenanceOrders()
 	dirty := o.core.Dirty() || o.core.RosterStale()
 	deposed := o.core.Deposed()
@@ -205,8 +208,8 @@
 	for _, order := range orders {
 		o.running.Go(func() { o.send(order) })
 	}
-	for _, ask := range asks {
-		o.running.Go(func() { o.requestAdvice(ask) })
+	for _, request := range adviceRequests {
+		o.running.Go(func() { o.requestAdvice(request) })
 	}
 	for _, order := range maintenanceOrders {
 		o.running.Go(func() { o.beginMaintenance(order) })
@@ -249,7 +252,7 @@
 	}
 }
 
-// renewed records a successful renewal that was sent at the given time.
+// recordRenewal records a successful renewal that was sent at the given time.
 func (o *owner) recordRenewal(sent time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -274,7 +277,8 @@
 	}
 }
 
-// tickLoop ticks the core and reports to it how late the process runs.
+// tickLoop calls the core's Tick at fixed intervals and reports to it how late the process
+// runs.
 func (o *owner) tickLoop() {
 	for began := o.node.clock(); sleep(o.ctx, tickInterval); began = o.node.clock() {
 		late := max(o.node.clock()-began-tickInterval, time.Duration(o.longestWait.Swap(0)))
@@ -287,7 +291,8 @@
 	}
 }
 
-// scheduleLoop schedules after events, several of them at once.
+// scheduleLoop runs a scheduling pass after events; one pass serves all that arrived since
+// the previous one.
 func (o *owner) scheduleLoop() {
 	for {
 		select {
--- a/node/pacer.go
+++ b/node/pacer.go
@@ -13,17 +13,17 @@
 	// maxLateness is how late a pause may end in a process that keeps up.
 	maxLateness = 30 * time.Millisecond
 	// minBatch and maxBatch bound a batch; batchGrowth is added after a pause that ended
-	// on time. minBatch starts even beside other load that makes the process late.
+	// on time. minBatch callers start even while other load makes the process late.
 	minBatch    = 16
 	maxBatch    = 256
 	batchGrowth = 4
 )
 
 // pacer starts callers that arrive all at once in batches, as fast as the process keeps up.
-// What starts beyond that waits for the process itself, and counts as unanswered although its
-// peer works.
+// A call that starts earlier waits for the process itself, and counts as unanswered although
+// its peer works.
 //
-// It does not bound how many are in flight: silent peers delay no others.
+// A pacer does not bound the calls in flight, so that silent peers delay no others.
 type pacer struct {
 	clock func() time.Duration
 	// yield returns once everything that was ready to run has had its turn.
--- a/node/peers.go
+++ b/node/peers.go
@@ -39,7 +39,8 @@
 	return jobsv1connect.NewOwnerClient(n.peers, "http://"+lead.Address)
 }
 
-// ownerState asks the owner for a job's state; false if the owner does not know the job.
+// ownerState asks the owner for a job's state. It reports false if no owner answers, or if
+// the owner does not know the job.
 func (n *Node) ownerState(ctx context.Context, id string) (job.Status, bool) {
 	if o := n.current.Load(); o != nil {
 		return o.stateOf(id)
@@ -58,6 +59,8 @@
 	return job.Status{State: job.State(resp.Msg.GetState()), Reason: resp.Msg.GetReason()}, resp.Msg.GetKnown()
 }
 
+// ownerPending asks the owner for the number of a queue's pending jobs. It reports false if
+// no owner answers.
 func (n *Node) ownerPending(ctx context.Context, queue string) (int, bool) {
 	if o := n.current.Load(); o != nil {
 		return o.pendingOf(queue), true
@@ -75,7 +78,7 @@
 	return int(resp.Msg.GetPending()), true
 }
 
-// relaySubmit has the owner record a job, for an entry that the store does not
+// submitViaOwner has the owner record a job, for an entry that the store does not
 // answer.
 func (n *Node) relaySubmit(ctx context.Context, id string, value []byte) Recorded {
 	client := n.ownerClient()
@@ -91,6 +94,7 @@
 	return fromWire(resp.Msg.GetRecorded())
 }
 
+// cancelViaOwner is submitViaOwner for a cancellation.
 func (n *Node) relayCancel(ctx context.Context, id string) Recorded {
 	client := n.ownerClient()
 	if client == nil {
@@ -105,7 +109,8 @@
 	return fromWire(resp.Msg.GetRecorded())
 }
 
-// failedRelayResult distinguishes a call that was never sent from one without an answer.
+// failedCallResult returns the result of a failed call to the owner: RecordedNo if it was
+// never sent, RecordedUnknown if the answer was lost.
 func failedRelayResult(err error) Recorded {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -162,7 +167,7 @@
 }
 
 // mayRecord reports whether this entry may record another entry's request without asking
-// the owner: a relayed request is forwarded to the owner and no further.
+// the owner: a request is passed on once, from an entry to the owner, and no further.
 func (n *Node) mayRecord() bool { return !n.store.Down() || n.current.Load() != nil }
 
 // SubmitJob implements jobsv1connect.OwnerHandler.
--- a/node/record.go
+++ b/node/record.go
@@ -22,8 +22,8 @@
 	maxFlushRecords = 24
 	// maxFlushRosterParts is the most parts of the roster in one write, 5 KB each.
 	maxFlushRosterParts = 8
-	// idleFlushInterval is the pause after which a flush is tried without updates: for
-	// what was learnt, and for the last records to be removed.
+	// idleFlushInterval is the pause after which a flush is tried without updates, to write
+	// the learnt values (estimates of run times and interference) and remove old records.
 	idleFlushInterval = 3 * time.Second
 	// flushTimeout bounds one write; a slow store takes 400 ms.
 	flushTimeout = 700 * time.Millisecond
@@ -61,7 +61,8 @@
 	}
 }
 
-// flush writes once; it reports whether the store accepted the write, or nothing waited.
+// flush writes what has changed, up to the size of one write. It reports whether the store
+// accepted the write, or there was nothing to write.
 func (o *owner) flush(ctx context.Context) bool {
 	o.writing.Lock()
 	defer o.writing.Unlock()
@@ -93,8 +94,8 @@
 		return false
 	}
 	if len(records) == 0 && len(roster) == 0 && unread == nil && wave == nil {
-		// What was learnt is due at each idle flush; the removal of old records must not
-		// wait for a flush without it.
+		// Learnt values are due at each idle flush; the removal of old records must not
+		// wait for a flush without them.
 		if removed := o.removeExpired(ctx); !removed || learnt == nil {
 			return removed
 		}
@@ -153,8 +154,8 @@
 	}
 	wctx, cancel := context.WithTimeout(ctx, flushTimeout)
 	defer cancel()
-	res, twice, err := o.do(wctx, txn)
-	o.lastWriteUnknown = err != nil && !errors.Is(err, kv.ErrNotDone) || twice && !res.Succeeded
+	res, mayBeRelayed, err := o.do(wctx, txn)
+	o.lastWriteUnknown = err != nil && !errors.Is(err, kv.ErrNotDone) || mayBeRelayed && !res.Succeeded
 	if err != nil {
 		if ctx.Err() == nil {
 			o.node.log.Warn().Str("event", "flush_failed").Int("operations", len(ops)).Err(err).Msg("")
@@ -171,16 +172,16 @@
 // writeRefused handles a refused write: either an earlier write of this owner, whose
 // answer was lost, was carried out, or the ownership has ended.
 func (o *owner) writeRefused(res kv.TxnResult) bool {
-	lead := false
+	stillOwner := false
 	for _, p := range res.Reads[0] {
 		switch p.Key {
 		case leadKey:
-			lead = p.ModRevision == o.own.leadRev
+			stillOwner = p.ModRevision == o.own.leadRev
 		case chainKey:
 			o.own.chainRev = p.ModRevision
 		}
 	}
-	if !lead {
+	if !stillOwner {
 		o.node.log.Warn().Str("event", "ownership_lost").Uint64("term", o.own.lead.Term).Msg("")
 		o.stop(errNotOwner)
 	}
--- a/node/removal.go
+++ b/node/removal.go
@@ -8,7 +8,7 @@
 	"leverstile.dev/kv"
 )
 
-// Limits of removals.
+// Limits of the removal of the records of jobs that ended long ago.
 const (
 	// maxRemovedJobs is the most finished jobs whose three records are removed in
 	// one write.
@@ -26,8 +26,8 @@
 	remaining int
 }
 
-// removeBatch removes records of old jobs once there are as many as one write takes:
-// while jobs arrive, no flush is without updates.
+// removeBatch removes records of old jobs once there are as many as one write takes. While
+// jobs arrive, every flush has updates, and a flush with updates removes no records.
 func (o *owner) removeBatch() {
 	o.mu.Lock()
 	full := len(o.core.Expired(maxRemovedJobs)) == maxRemovedJobs
@@ -40,8 +40,8 @@
 	o.removeExpired(o.ctx)
 }
 
-// removeExpired removes the records of jobs that ended long ago. It reports false if a
-// write or read failed.
+// removeExpired removes the records of jobs that ended long ago, or else old cancellations.
+// It reports false if a write or read failed.
 func (o *owner) removeExpired(ctx context.Context) bool {
 	if o.removal.remaining > 0 {
 		return o.retryRemoval(ctx)
@@ -122,7 +122,7 @@
 	return slices.Clone(o.core.Expired(limit))
 }
 
-// removed reports to the core that the records of its first n expired jobs are gone, from
+// recordRemoval reports to the core that the records of its first n expired jobs are gone, from
 // a revision of the store on.
 func (o *owner) recordRemoval(n int, revision int64) {
 	o.locked(func(c *dispatch.Core, _ dispatch.Instant) { c.RecordsRemoved(n, revision) })
--- a/node/roster.go
+++ b/node/roster.go
@@ -16,8 +16,9 @@
 
 func rosterPartKey(number int) string { return fmt.Sprintf("%s%05d", rosterPrefix, number) }
 
-// readRoster recovers from the roster of the previous owner, and reports whether the store
-// records that it is in parts. If any of it can't be read, any worker may have orders.
+// readRoster passes the roster of the previous owner, its list of the workers that may have
+// orders, to the core, and reports whether the store records that it is in parts. If a part
+// can't be read, any worker may have orders.
 func (n *Node) readRoster(core *dispatch.Core, own []kv.Pair, now dispatch.Instant) (inParts bool) {
 	var list []dispatch.RosterEntry
 	sound := true
--- a/node/store.go
+++ b/node/store.go
@@ -1,6 +1,6 @@
 // Package node is an entry process that schedules jobs: it accepts them into
 // the store, takes part in the election of the cell's owner, and as owner runs
-// dispatch.Core against the workers. Everything that must last is in the store.
+// dispatch.Core against the workers. All durable state is in the store.
 package node
 
 import (
@@ -19,8 +19,8 @@
 	kv.Store
 	// Get reads one key; the pair is nil if the key does not exist.
 	Get(ctx context.Context, key string) (*kv.Pair, error)
-	// WatchPatiently is Watch with fewer calls while nothing changes; it takes some seconds
-	// longer to detect a watch that the store no longer answers.
+	// WatchLongPoll is Watch with a longer poll, and so fewer calls while nothing changes; it
+	// takes some seconds longer to detect a watch that the store no longer answers.
 	WatchPatiently(ctx context.Context, prefix string, after int64, handle func(rev int64, events []kv.Event)) error
 }
 
@@ -31,7 +31,7 @@
 
 // Workers sends requests to workers.
 type Workers interface {
-	Poll(ctx context.Context, h dispatch.PollRequest) (dispatch.PollReply, dispatch.Outcome)
+	Poll(ctx context.Context, req dispatch.PollRequest) (dispatch.PollReply, dispatch.Outcome)
 	Send(ctx context.Context, o dispatch.Order) dispatch.Answer
 	// Abort cancels the calls under way.
 	Abort()
@@ -42,7 +42,7 @@
 	Advise(ctx context.Context, req dispatch.AdviceRequest) ([]dispatch.Ticket, error)
 }
 
-// VMs sends requests for VMs to the platform.
+// VMs asks the platform to start the maintenance of VMs.
 type VMs interface {
 	StartMaintenance(ctx context.Context, o dispatch.MaintenanceOrder) dispatch.MaintenanceOutcome
 }
@@ -79,13 +79,15 @@
 	unreadKey = "ls/own/unheard"
 	// learntKey holds the owner's estimates of run times and interference.
 	learntKey = "ls/own/learnt"
-	// intakePrefix holds the jobs and cancellations that entries record for the owner.
+	// intakePrefix holds the intake: the jobs and cancellations that entries record for the
+	// owner.
 	intakePrefix = "ls/in/"
 	jobPrefix    = intakePrefix + "job/"
 	cancelPrefix = intakePrefix + "cancel/"
 	// progressPrefix holds the progress of jobs, written by the owner.
 	progressPrefix = "ls/progress/"
-	ownPrefix      = "ls/own/"
+	// ownPrefix holds the records that owners keep for their successors.
+	ownPrefix = "ls/own/"
 )
 
 // storeHealth tracks whether the store answers this process. It wraps the store, so
@@ -100,8 +102,8 @@
 
 // Thresholds of the store's health.
 const (
-	// After downFailures failed calls in a row without a success for downOutage, the store
-	// counts as down, and callers make no calls that need it.
+	// downFailures is the number of failed calls in a row, and downOutage the time without a
+	// success, after which the store counts as down and callers make no calls that need it.
 	downFailures = 2
 	downOutage   = 400 * time.Millisecond
 	// unreadyOutage is the outage after which the entry is not ready: shorter outages hit
@@ -109,6 +111,8 @@
 	unreadyOutage = 2500 * time.Millisecond
 )
 
+// record counts the outcome of a call. A missing lease and a compacted history are answers
+// of the store, not failures.
 func (h *storeHealth) record(err error) {
 	if err == nil || errors.Is(err, kv.ErrLeaseNotFound) || errors.Is(err, kv.ErrCompacted) {
 		h.lastOK.Store(int64(h.clock()))
--- a/node/storerelay.go
+++ b/node/storerelay.go
@@ -26,10 +26,11 @@
 	relayDelay = 450 * time.Millisecond
 	// relayAttempts is how many entries are asked to make one call.
 	relayAttempts = 2
-	// maxStoreSilence is how long the store may not have answered the owner itself. Beyond
-	// it, what the owner reads itself, such as the list of workers, is out of date.
+	// maxStoreSilence is the longest time without an answer of the store to the owner itself
+	// for which other entries make its calls. Beyond it, what the owner reads itself, such as
+	// the list of workers, is out of date.
 	maxStoreSilence = 8 * time.Second
-	// maxRelays is how many entries are remembered, relayMaxAge for how long: only entries
+	// maxRelays is how many entries are remembered, maxRelayAge for how long: only entries
 	// that the store answered recently are useful.
 	maxRelays   = 8
 	relayMaxAge = 10 * time.Second
@@ -77,7 +78,8 @@
 	return e.address, now-e.answeredAt < relayMaxAge
 }
 
-// storeCall is a call to the store that can also be made by another entry.
+// storeCall is a call to the store that another entry can make too: direct makes it from
+// this entry, relay asks another entry to make it.
 type storeCall[T any] struct {
 	direct func(context.Context) (T, error)
 	relay  func(context.Context, jobsv1connect.RelayClient) (T, error)
@@ -140,7 +142,7 @@
 	return c.relay(ctx, jobsv1connect.NewRelayClient(o.node.peers, "http://"+address))
 }
 
-// logRelayed logs, once an outage, that other entries make the owner's calls.
+// logRelayed logs, once per outage, that other entries make the owner's calls.
 func (o *owner) logRelayed(address string) {
 	if o.node.relayed.CompareAndSwap(false, true) {
 		o.node.log.Warn().Str("event", "store_relayed").Str("by", address).Dur("silent", o.node.store.sinceAnswer()).Msg("")
@@ -166,7 +168,7 @@
 	return err
 }
 
-// do carries out a write of the owner, whose conditions keep it from taking effect twice.
+// doTxn carries out a write of the owner, whose conditions keep it from taking effect twice.
 // If mayBeRelayed is set, a write that is refused may have taken effect.
 func (o *owner) do(ctx context.Context, txn kv.Txn) (res kv.TxnResult, mayBeRelayed bool, err error) {
 	return storeCall[kv.TxnResult]{
