--- a/node/owner.go
+++ b/node/owner.go
@@ -19,9 +19,9 @@
 	tickInterval = 100 * time.Millisecond
 	// scheduleInterval is the shortest pause between scheduling passes of the core.
 	scheduleInterval = 8 * time.Millisecond
-	// maxOrders is the most orders in flight at once; further ones wait. At 1,000 starts a second
-	// and 5 ms a call, 5 are in flight. Stops and polls don't wait: running tasks must not
-	// be lost.
+	// maxOrders is the most orders in flight at once; further ones wait. At 1,000 starts a
+	// second and 5 ms a call, 5 are in flight. Stops and polls don't wait: running tasks must
+	// not be lost.
 	maxOrders = 256
 	// linkWindow bounds the orders in flight on a small link to what it carries in that
 	// time, at orderBytes a start, which are mostly the job's payload. A call times out
@@ -95,7 +95,8 @@
 	// waveRecords are the stored records of maintenance waves at the takeover, by key.
 	// They don't change after the core is in place.
 	waveRecords map[string][]byte
-	// suspended is set after a freeze until the lease is renewed; meanwhile no call to a worker is made.
+	// suspended is set after a freeze until the lease is renewed; meanwhile no call to a
+	// worker is made.
 	suspended bool
 }
 
