--- a/node/contact.go
+++ b/node/contact.go
@@ -101,13 +101,13 @@
 		if !o.mayAct(ctx) {
 			return
 		}
-		reply, outcome := o.node.workers.Poll(ctx, plan.Order)
+		reply, outcome := o.node.workers.Poll(ctx, plan.Request)
 		if ctx.Err() != nil {
 			return
 		}
 		var pause time.Duration
 		o.locked(func(c *dispatch.Core, now dispatch.Instant) {
-			pause = c.PollDone(plan.Order, reply, outcome, now)
+			pause = c.PollDone(plan.Request, reply, outcome, now)
 		})
 		signal(o.wake)
 		sleep(ctx, pause)
--- a/node/load.go
+++ b/node/load.go
@@ -130,7 +130,7 @@
 				n.logUnreadable("unheard_unreadable", p.Key, p.ModRevision, err)
 			}
 		case learntKey:
-			if err := core.TakeLearnt(p.Value); err != nil {
+			if err := core.LoadModels(p.Value); err != nil {
 				// The record only saves time: the new owner learns again.
 				n.logUnreadable("learnt_unreadable", p.Key, p.ModRevision, err)
 			}
--- a/node/record.go
+++ b/node/record.go
@@ -77,8 +77,8 @@
 		records, err = o.core.Records(maxFlushRecords - len(roster))
 	}
 	var learnt []byte
-	if now := o.now(); err == nil && o.core.LearntDue(now) {
-		learnt, err = o.core.Learnt(now)
+	if now := o.now(); err == nil && o.core.ModelsDue(now) {
+		learnt, err = o.core.EncodeModels(now)
 	}
 	var unread []byte
 	if err == nil {
