--- a/node/campaign_test.go
+++ b/node/campaign_test.go
@@ -70,7 +70,7 @@
 	return s.KVStore.Revoke(ctx, id)
 }
 
-func (s *countedStore) WatchPatiently(ctx context.Context, prefix string, after int64, handle func(int64, []kv.Event)) error {
+func (s *countedStore) WatchLongPoll(ctx context.Context, prefix string, after int64, handle func(int64, []kv.Event)) error {
 	return s.Watch(ctx, prefix, after, handle)
 }
 
@@ -202,7 +202,7 @@
 	return s.countedStore.Watch(ctx, prefix, after, handle)
 }
 
-func (s *watchKinds) WatchPatiently(ctx context.Context, prefix string, after int64, handle func(int64, []kv.Event)) error {
+func (s *watchKinds) WatchLongPoll(ctx context.Context, prefix string, after int64, handle func(int64, []kv.Event)) error {
 	s.patient.Add(1)
 	return s.countedStore.Watch(ctx, prefix, after, handle)
 }
--- a/node/contact.go
+++ b/node/contact.go
@@ -17,7 +17,7 @@
 	// within 1.4 s of its decision, retries included.
 	slotTimeout = 500 * time.Millisecond
 	// pollerCheckInterval is the shortest pause between checks for workers without a poller.
-	repollInterval = 50 * time.Millisecond
+	pollerCheckInterval = 50 * time.Millisecond
 )
 
 // syncPollers starts a poller, a goroutine that runs pollLoop, for each worker that has none,
@@ -28,9 +28,9 @@
 	known := map[dispatch.WorkerID]bool{}
 	for _, id := range o.awaitedFirst(o.core.Workers()) {
 		known[id] = true
-		if o.polled[id] == nil {
+		if o.pollers[id] == nil {
 			ctx, cancel := context.WithCancel(o.ctx)
-			o.polled[id] = cancel
+			o.pollers[id] = cancel
 			turn := o.firstPolls.join()
 			o.running.Go(func() {
 				if awaitTurn(ctx, turn) {
@@ -39,10 +39,10 @@
 			})
 		}
 	}
-	for id, cancel := range o.polled {
+	for id, cancel := range o.pollers {
 		if !known[id] {
 			cancel()
-			delete(o.polled, id)
+			delete(o.pollers, id)
 		}
 	}
 }
@@ -69,10 +69,10 @@
 		select {
 		case <-o.ctx.Done():
 			return
-		case <-o.repoll:
+		case <-o.pollerEnded:
 		}
 		o.syncPollers()
-		if !sleep(o.ctx, repollInterval) {
+		if !sleep(o.ctx, pollerCheckInterval) {
 			return
 		}
 	}
@@ -86,12 +86,12 @@
 			plan = c.PlanPoll(id, now)
 			if plan.Gone && ctx.Err() == nil {
 				// A worker that comes back before the next syncPollers gets a new one.
-				o.polled[id]()
-				delete(o.polled, id)
+				o.pollers[id]()
+				delete(o.pollers, id)
 			}
 		})
 		if plan.Gone {
-			signal(o.repoll) // the worker's next incarnation may be listed
+			signal(o.pollerEnded) // the worker's next incarnation may be listed
 			return
 		}
 		if !plan.Send {
--- a/node/election.go
+++ b/node/election.go
@@ -80,7 +80,7 @@
 // round waits until this entry may take over, and then owns the cell until the ownership
 // ends.
 func (e *election) round(ctx context.Context) error {
-	s, err := e.awaitTurn(ctx)
+	s, err := e.awaitEligible(ctx)
 	if err != nil {
 		return err
 	}
@@ -97,7 +97,7 @@
 // awaitEligible watches who owns the cell until this entry may take over: nobody has owned
 // it for the entry's delay, or an earlier process of the entry does. A VM runs one
 // process, so the earlier one has ended.
-func (e *election) awaitTurn(ctx context.Context) (leadState, error) {
+func (e *election) awaitEligible(ctx context.Context) (leadState, error) {
 	s, err := e.readLead(ctx)
 	for err == nil {
 		others := s.lead != nil && s.lead.Entry != e.node.opts.Entry
@@ -188,7 +188,7 @@
 // watch unanswered.
 func (e *election) watchLead() watchFunc {
 	if handicap(e.node.opts.ProcessorShare) > 0 {
-		return e.node.store.WatchPatiently
+		return e.node.store.WatchLongPoll
 	}
 	return e.node.store.Watch
 }
@@ -227,7 +227,7 @@
 	leadRev  int64
 	chainRev int64
 	// lastRenewal is when the last answered renewal was sent.
-	renewed time.Duration
+	lastRenewal time.Duration
 }
 
 // acquire tries to become the owner. It returns nil without an error if
@@ -243,9 +243,9 @@
 		return nil, errors.Trace(err)
 	}
 	won := &ownership{
-		lead:    leadRecord{Entry: e.node.opts.Entry, Address: e.node.opts.PeerAddress, Term: term + 1, Session: e.session},
-		lease:   lease,
-		renewed: sent,
+		lead:        leadRecord{Entry: e.node.opts.Entry, Address: e.node.opts.PeerAddress, Term: term + 1, Session: e.session},
+		lease:       lease,
+		lastRenewal: sent,
 	}
 	value, err := json.Marshal(&won.lead)
 	if err != nil {
--- a/node/evacuations.go
+++ b/node/evacuations.go
@@ -140,7 +140,7 @@
 		signal(o.wake)
 		return
 	}
-	n.relayEvacuations(fresh)
+	n.reportEvacuations(fresh)
 }
 
 // applyEvacuations passes the evacuated data centres to the core.
@@ -150,7 +150,7 @@
 
 // reportEvacuations reports changes that this entry has read to the owner. The store may
 // refuse the owner alone, for seconds, while it accepts the operators' writes.
-func (n *Node) relayEvacuations(updates []evacuation) {
+func (n *Node) reportEvacuations(updates []evacuation) {
 	req := &jobsv1.NoteEvacuationsRequest{}
 	for _, e := range updates {
 		req.Evacuations = append(req.Evacuations, &jobsv1.Evacuation{DataCentre: e.dataCentre, Revision: e.revision, Evacuated: e.evacuated})
@@ -167,13 +167,13 @@
 	for _, e := range req.Msg.GetEvacuations() {
 		updates = append(updates, evacuation{e.GetDataCentre(), e.GetRevision(), e.GetEvacuated()})
 	}
-	p.node.applyRelayedEvacuations(updates)
+	p.node.applyReportedEvacuations(updates)
 	return connect.NewResponse(&jobsv1.NoteEvacuationsResponse{}), nil
 }
 
 // applyReportedEvacuations applies updates of another entry if this entry is the owner; any
 // other entry ignores them.
-func (n *Node) applyRelayedEvacuations(updates []evacuation) {
+func (n *Node) applyReportedEvacuations(updates []evacuation) {
 	if n.current.Load() != nil {
 		n.updateEvacuations(updates)
 	}
--- a/node/hint.go
+++ b/node/hint.go
@@ -19,7 +19,7 @@
 	// maxHintAge is how old a job may be for its hint to count: far less than the time for
 	// which records are kept, so that no job that ended long ago is taken for a new one.
 	// The clocks of two VMs may be some seconds apart.
-	hintMaxAge = 20 * time.Second
+	maxHintAge = 20 * time.Second
 	// maxHints bounds the hints under way; further ones are dropped.
 	maxHints = 64
 )
@@ -95,5 +95,5 @@
 
 // freshHint reports whether a job is recent enough for its hint to count.
 func freshHint(spec *job.Spec, now dispatch.Instant) bool {
-	return now.UnixMS-spec.AcceptedMS < hintMaxAge.Milliseconds()
+	return now.UnixMS-spec.AcceptedMS < maxHintAge.Milliseconds()
 }
--- a/node/intake.go
+++ b/node/intake.go
@@ -80,7 +80,7 @@
 		if o := n.current.Load(); o != nil {
 			return o.recordViaRelay(ctx, jobPrefix+id, id, value)
 		}
-		return n.relaySubmit(ctx, id, value)
+		return n.submitViaOwner(ctx, id, value)
 	}
 	return n.createJob(ctx, id, value)
 }
@@ -142,7 +142,7 @@
 		if o := n.current.Load(); o != nil {
 			return o.cancelViaRelay(ctx, id)
 		}
-		return n.relayCancel(ctx, id)
+		return n.cancelViaOwner(ctx, id)
 	}
 	_, known, err := n.State(ctx, id)
 	if err != nil {
@@ -199,7 +199,7 @@
 }
 
 // maxPendingAge is how old a count of pending jobs may be; customers allow 2 s.
-const pendingMaxAge = 300 * time.Millisecond
+const maxPendingAge = 300 * time.Millisecond
 
 // pendingCache caches counts of pending jobs for maxPendingAge. Its lock guards counts.
 type pendingCache struct {
@@ -218,7 +218,7 @@
 	n.pending.mu.Lock()
 	c, ok := n.pending.counts[queue]
 	n.pending.mu.Unlock()
-	if ok && n.clock()-c.at < pendingMaxAge {
+	if ok && n.clock()-c.at < maxPendingAge {
 		return c.n, true
 	}
 	count, ok := n.ownerPending(ctx, queue)
--- a/node/intakeloop.go
+++ b/node/intakeloop.go
@@ -13,7 +13,7 @@
 // Limits of reads of the list of workers.
 const (
 	// minListPause is the shortest pause between reads of the list of workers.
-	listPause = 700 * time.Millisecond
+	minListPause = 700 * time.Millisecond
 	// listEntryBytes is the largest size of a worker's entry in an answer of the store
 	// (typically 437 bytes); listLinkShare is the part of the link that reads of the list
 	// may use: 214 KB each 0.7 s, for 490 workers, are a fourth of a link of 10 Mbit/s.
@@ -26,7 +26,7 @@
 
 // listPauseFor returns the pause between reads of a list of that many workers.
 func (n *Node) listPauseFor(workers int) time.Duration {
-	pause := listPause
+	pause := minListPause
 	if n.opts.LinkBytes > 0 {
 		seconds := float64(workers*listEntryBytes) / (listLinkShare * n.opts.LinkBytes)
 		pause = max(pause, time.Duration(seconds*float64(time.Second)))
--- a/node/load.go
+++ b/node/load.go
@@ -62,7 +62,7 @@
 	n.loadJobs(core, s.progress.pairs, s.intake.pairs, now)
 	o.mu.Lock()
 	o.core = core
-	core.Renewed(o.own.renewed)
+	core.Renewed(o.own.lastRenewal)
 	o.mu.Unlock()
 	n.log.Info().Str("event", "owner_loaded").Int("intake", len(s.intake.pairs)).Int("workers", len(s.workers.Workers)).
 		Int("unresolved", core.Recovering()).Dur("took", n.clock()-began).Msg("")
--- a/node/maintenance.go
+++ b/node/maintenance.go
@@ -83,7 +83,7 @@
 }
 
 // startMaintenance makes one call that starts the maintenance of a VM and records the outcome.
-func (o *owner) beginMaintenance(order dispatch.MaintenanceOrder) {
+func (o *owner) startMaintenance(order dispatch.MaintenanceOrder) {
 	outcome := dispatch.MaintenanceUnknown
 	if o.node.vms != nil && o.mayAct(o.ctx) {
 		outcome = o.node.vms.StartMaintenance(o.ctx, order)
--- a/node/node.go
+++ b/node/node.go
@@ -75,8 +75,8 @@
 	waves           waveList
 	// badWorkerEntries are the workers' entries in the list of workers that can't be used,
 	// badKeys other keys that can't be read; unusable is the number of the former.
-	badEntries, badKeys reportedProblems
-	unusable            atomic.Int64
+	badWorkerEntries, badKeys reportedProblems
+	unusable                  atomic.Int64
 	// evacuations are the states of data centres that this entry has read or received.
 	evacuations evacuationList
 	hints       chan struct{} // holds one value per hint in progress
--- a/node/owner.go
+++ b/node/owner.go
@@ -71,7 +71,7 @@
 	removal          unansweredRemoval
 	mu               sync.Mutex
 	core             *dispatch.Core
-	polled           map[dispatch.WorkerID]context.CancelFunc
+	pollers          map[dispatch.WorkerID]context.CancelFunc
 	// firstPolls delays the first poll of each worker: after a takeover all are due at once.
 	firstPolls *pacer
 
@@ -83,7 +83,7 @@
 	longestWait atomic.Int64
 	wake        chan struct{} // the core has something to schedule
 	flushNow    chan struct{}
-	repoll      chan struct{} // a poller has ended because its worker is gone
+	pollerEnded chan struct{} // a poller has ended because its worker is gone
 	ctx         context.Context
 	stop        context.CancelCauseFunc
 	// adviceMu serializes calls to the placement policy, which takes one call of a VM
@@ -104,9 +104,9 @@
 func (n *Node) runOwner(ctx context.Context, own *ownership) error {
 	octx, stop := context.WithCancelCause(ctx)
 	o := &owner{
-		node: n, own: own, polled: map[dispatch.WorkerID]context.CancelFunc{},
+		node: n, own: own, pollers: map[dispatch.WorkerID]context.CancelFunc{},
 		slots: make(chan struct{}, orderLimit(n.opts.LinkBytes)), wake: make(chan struct{}, 1), flushNow: make(chan struct{}, 1),
-		repoll: make(chan struct{}, 1), firstPolls: newPacer(n.clock, runtime.Gosched), ctx: octx, stop: stop, lastAlive: n.clock(),
+		pollerEnded: make(chan struct{}, 1), firstPolls: newPacer(n.clock, runtime.Gosched), ctx: octx, stop: stop, lastAlive: n.clock(),
 	}
 	n.log.Info().Str("event", "owner_begin").Uint64("term", own.lead.Term).Msg("")
 	o.running.Go(o.renewLoop)
@@ -213,7 +213,7 @@
 		o.running.Go(func() { o.requestAdvice(request) })
 	}
 	for _, order := range maintenanceOrders {
-		o.running.Go(func() { o.beginMaintenance(order) })
+		o.running.Go(func() { o.startMaintenance(order) })
 	}
 }
 
@@ -242,7 +242,7 @@
 			o.node.log.Warn().Str("event", "lease_lost").Uint64("term", o.own.lead.Term).Msg("")
 			o.stop(errNotOwner)
 			return
-		case o.node.clock()-o.own.renewed > ownerHorizon:
+		case o.node.clock()-o.own.lastRenewal > ownerHorizon:
 			o.node.log.Warn().Str("event", "lease_horizon").Err(err).Msg("")
 			o.stop(errNotOwner)
 			return
@@ -257,7 +257,7 @@
 func (o *owner) recordRenewal(sent time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.own.renewed = sent
+	o.own.lastRenewal = sent
 	if o.suspended {
 		o.suspended = false
 		o.node.log.Info().Str("event", "owner_resumed").Msg("")
--- a/node/peers.go
+++ b/node/peers.go
@@ -80,7 +80,7 @@
 
 // submitViaOwner has the owner record a job, for an entry that the store does not
 // answer.
-func (n *Node) relaySubmit(ctx context.Context, id string, value []byte) Recorded {
+func (n *Node) submitViaOwner(ctx context.Context, id string, value []byte) Recorded {
 	client := n.ownerClient()
 	if client == nil {
 		return RecordedNo
@@ -89,13 +89,13 @@
 	defer cancel()
 	resp, err := client.SubmitJob(ctx, connect.NewRequest(&jobsv1.SubmitJobRequest{Id: id, Record: value}))
 	if err != nil {
-		return failedRelayResult(err)
+		return failedCallResult(err)
 	}
-	return fromWire(resp.Msg.GetRecorded())
+	return recordedFromWire(resp.Msg.GetRecorded())
 }
 
 // cancelViaOwner is submitViaOwner for a cancellation.
-func (n *Node) relayCancel(ctx context.Context, id string) Recorded {
+func (n *Node) cancelViaOwner(ctx context.Context, id string) Recorded {
 	client := n.ownerClient()
 	if client == nil {
 		return RecordedNo
@@ -104,14 +104,14 @@
 	defer cancel()
 	resp, err := client.CancelJob(ctx, connect.NewRequest(&jobsv1.CancelJobRequest{Id: id}))
 	if err != nil {
-		return failedRelayResult(err)
+		return failedCallResult(err)
 	}
-	return fromWire(resp.Msg.GetRecorded())
+	return recordedFromWire(resp.Msg.GetRecorded())
 }
 
 // failedCallResult returns the result of a failed call to the owner: RecordedNo if it was
 // never sent, RecordedUnknown if the answer was lost.
-func failedRelayResult(err error) Recorded {
+func failedCallResult(err error) Recorded {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return RecordedNo
@@ -125,7 +125,7 @@
 	RecordedNoCapacity: jobsv1.Recorded_RECORDED_NO_ROOM,
 }
 
-func fromWire(r jobsv1.Recorded) Recorded {
+func recordedFromWire(r jobsv1.Recorded) Recorded {
 	for own, wire := range recordedWire {
 		if wire == r {
 			return own
--- a/node/pollers_test.go
+++ b/node/pollers_test.go
@@ -38,7 +38,7 @@
 		core := dispatch.New(dispatch.Params{MaxTaskLease: time.Second, OwnerTTL: time.Hour, OwnerHorizon: time.Hour}, 1, nil)
 		core.Renewed(0)
 		o := &owner{
-			node: n, core: core, ctx: ctx, polled: map[dispatch.WorkerID]context.CancelFunc{}, wake: make(chan struct{}, 1), flushNow: make(chan struct{}, 1),
+			node: n, core: core, ctx: ctx, pollers: map[dispatch.WorkerID]context.CancelFunc{}, wake: make(chan struct{}, 1), flushNow: make(chan struct{}, 1),
 			firstPolls: newPacer(n.clock, runtime.Gosched), stop: func(error) { stop() },
 		}
 		list := func(infos ...dispatch.WorkerInfo) {
--- a/node/problems.go
+++ b/node/problems.go
@@ -53,10 +53,10 @@
 	for _, e := range list {
 		wrong[string(e.ID)] = true
 	}
-	n.badEntries.retain(wrong)
+	n.badWorkerEntries.retain(wrong)
 	n.unusable.Store(int64(len(list)))
 	for _, e := range list {
-		if n.badEntries.add(string(e.ID), e.Reason) {
+		if n.badWorkerEntries.add(string(e.ID), e.Reason) {
 			n.log.Warn().Str("event", "worker_entry_unusable").Str("worker", string(e.ID)).Str("reason", e.Reason).Msg("")
 		}
 	}
--- a/node/record.go
+++ b/node/record.go
@@ -154,7 +154,7 @@
 	}
 	wctx, cancel := context.WithTimeout(ctx, flushTimeout)
 	defer cancel()
-	res, mayBeRelayed, err := o.do(wctx, txn)
+	res, mayBeRelayed, err := o.doTxn(wctx, txn)
 	o.lastWriteUnknown = err != nil && !errors.Is(err, kv.ErrNotDone) || mayBeRelayed && !res.Succeeded
 	if err != nil {
 		if ctx.Err() == nil {
--- a/node/slots_test.go
+++ b/node/slots_test.go
@@ -56,11 +56,11 @@
 		least   time.Duration
 		most    time.Duration
 	}{
-		{0, 0, 490, listPause, listPause},
-		{25e6, 3 * time.Second, 490, listPause, listPause},
+		{0, 0, 490, minListPause, minListPause},
+		{25e6, 3 * time.Second, 490, minListPause, minListPause},
 		{1.25e6, 0, 490, 1500 * time.Millisecond, 1600 * time.Millisecond},
 		{1.25e6, 3 * time.Second, 490, 1350 * time.Millisecond, 1350 * time.Millisecond},
-		{1.25e6, 2 * time.Second, 66, listPause, listPause},
+		{1.25e6, 2 * time.Second, 66, minListPause, minListPause},
 	} {
 		n := &Node{opts: Options{LinkBytes: x.link, DrainNotice: x.drain}}
 		if got := n.listPauseFor(x.workers); got < x.least || got > x.most {
--- a/node/store.go
+++ b/node/store.go
@@ -21,7 +21,7 @@
 	Get(ctx context.Context, key string) (*kv.Pair, error)
 	// WatchLongPoll is Watch with a longer poll, and so fewer calls while nothing changes; it
 	// takes some seconds longer to detect a watch that the store no longer answers.
-	WatchPatiently(ctx context.Context, prefix string, after int64, handle func(rev int64, events []kv.Event)) error
+	WatchLongPoll(ctx context.Context, prefix string, after int64, handle func(rev int64, events []kv.Event)) error
 }
 
 // Lister reads the platform's list of workers.
@@ -175,7 +175,7 @@
 	return err
 }
 
-// watchFunc is Watch or WatchPatiently of a store.
+// watchFunc is Watch or WatchLongPoll of a store.
 type watchFunc func(ctx context.Context, prefix string, after int64, handle func(int64, []kv.Event)) error
 
 // Watch implements kv.Store.
@@ -183,9 +183,9 @@
 	return h.recorded(h.Store.Watch)(ctx, prefix, after, handle)
 }
 
-// WatchPatiently implements Store.
-func (h *storeHealth) WatchPatiently(ctx context.Context, prefix string, after int64, handle func(int64, []kv.Event)) error {
-	return h.recorded(h.Store.WatchPatiently)(ctx, prefix, after, handle)
+// WatchLongPoll implements Store.
+func (h *storeHealth) WatchLongPoll(ctx context.Context, prefix string, after int64, handle func(int64, []kv.Event)) error {
+	return h.recorded(h.Store.WatchLongPoll)(ctx, prefix, after, handle)
 }
 
 // recorded returns a watch whose answers count for the store's health.
--- a/node/storerelay.go
+++ b/node/storerelay.go
@@ -33,7 +33,7 @@
 	// maxRelays is how many entries are remembered, maxRelayAge for how long: only entries
 	// that the store answered recently are useful.
 	maxRelays   = 8
-	relayMaxAge = 10 * time.Second
+	maxRelayAge = 10 * time.Second
 )
 
 // relayList holds the entries that the store has recently answered, the newest last. Its
@@ -75,7 +75,7 @@
 		return "", false
 	}
 	e := l.entries[len(l.entries)-1]
-	return e.address, now-e.answeredAt < relayMaxAge
+	return e.address, now-e.answeredAt < maxRelayAge
 }
 
 // storeCall is a call to the store that another entry can make too: direct makes it from
@@ -170,7 +170,7 @@
 
 // doTxn carries out a write of the owner, whose conditions keep it from taking effect twice.
 // If mayBeRelayed is set, a write that is refused may have taken effect.
-func (o *owner) do(ctx context.Context, txn kv.Txn) (res kv.TxnResult, mayBeRelayed bool, err error) {
+func (o *owner) doTxn(ctx context.Context, txn kv.Txn) (res kv.TxnResult, mayBeRelayed bool, err error) {
 	return storeCall[kv.TxnResult]{
 		direct: func(ctx context.Context) (kv.TxnResult, error) { return o.node.store.Do(ctx, txn) },
 		relay: func(ctx context.Context, c jobsv1connect.RelayClient) (res kv.TxnResult, err error) {
@@ -200,7 +200,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, writeBudget)
 	defer cancel()
-	_, _, err := o.do(ctx, kv.Txn{
+	_, _, err := o.doTxn(ctx, kv.Txn{
 		If:   []kv.Compare{{Key: key, Missing: true}},
 		Then: []kv.Op{kv.Put(key, recordValue(value), 0)},
 	})
--- a/node/storerelay_test.go
+++ b/node/storerelay_test.go
@@ -222,7 +222,7 @@
 			c.store.silent.Store(true)
 			time.Sleep(time.Second)
 			c.owner.node.relays.drop("other")
-			c.owner.node.relays.add("other", c.owner.node.clock()-relayMaxAge)
+			c.owner.node.relays.add("other", c.owner.node.clock()-maxRelayAge)
 		}, false, clientTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -249,7 +249,7 @@
 		c.owner.node.relays.drop("other")
 		c.owner.node.relays.add(lostAnswers, c.owner.node.clock())
 		c.store.refusing.Store(true)
-		_, mayBeRelayed, err := c.owner.do(t.Context(), kv.Txn{Then: []kv.Op{kv.Put("k", []byte("1"), 0)}})
+		_, mayBeRelayed, err := c.owner.doTxn(t.Context(), kv.Txn{Then: []kv.Op{kv.Put("k", []byte("1"), 0)}})
 		if !mayBeRelayed || errors.Is(err, kv.ErrNotDone) || !errors.Is(err, kv.ErrUnavailable) {
 			t.Errorf("a write that was carried out: mayBeRelayed %v, %v", mayBeRelayed, err)
 		}
--- a/node/suspended_test.go
+++ b/node/suspended_test.go
@@ -52,8 +52,8 @@
 	if !o.suspended {
 		t.Error("the owner continues as if no time had passed")
 	}
-	if now := o.now().Steady; now-o.own.renewed < ownerTTL {
-		t.Errorf("its lease counts as %v old, want %v or more", now-o.own.renewed, ownerTTL)
+	if now := o.now().Steady; now-o.own.lastRenewal < ownerTTL {
+		t.Errorf("its lease counts as %v old, want %v or more", now-o.own.lastRenewal, ownerTTL)
 	}
 	o.recordRenewal(n.clock())
 	if o.suspended {
