--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -261,7 +261,7 @@
 }
 
 // leaseMargin is the part of the owner's lease that is not used, since the clocks of the
-// owner and of the store differ in rate.
+// owner and of the store may differ in rate.
 const leaseMargin = 100 * time.Millisecond
 
 // holdsLease reports whether no other owner can have taken over yet.
--- a/dispatch/crash.go
+++ b/dispatch/crash.go
@@ -110,8 +110,8 @@
 }
 
 // recentRuns returns the runs that may have crashed the worker by their start: those started
-// less than startCrashWindow before its last answer, whose start was sent before it was
-// known to be silent.
+// less than startCrashWindow before its last answer, or after it, whose start was sent before
+// the worker was known to be silent.
 func (w *worker) recentRuns() []*attempt {
 	var list []*attempt
 	for _, a := range w.attempts {
--- a/dispatch/crashrate.go
+++ b/dispatch/crashrate.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Limits for comparing crashes of workers with each other. A crash is isolated if no other VM's worker
-// crashed at about the same time; the crash rate is low if few others crashed before it.
+// Limits for comparing crashes of workers with each other. A crash is isolated if no other
+// VM's worker crashed at about the same time; the crash rate is low if few others crashed
+// before it.
 const (
 	// simultaneousWindow is the time between detections of crashes that may have one cause
 	// outside the workers: a broken poll is detected at once, the next one up to 0.2 s later.
--- a/dispatch/ends.go
+++ b/dispatch/ends.go
@@ -42,7 +42,7 @@
 	c.deferEndAck(w, pendingEnd{number: e.Number, task: e.Task, job: t.step.job, version: t.step.job.version})
 }
 
-// ignoreEnd acknowledges an end that does not concern a task, so that the worker drops it.
+// ignoreEnd acknowledges an end that has no effect on a task, so that the worker drops it.
 func (c *Core) ignoreEnd(w *worker, e *EndedTask, reason string) {
 	c.deferEndAck(w, pendingEnd{number: e.Number, task: e.Task})
 	c.trace(Decision{Event: "end_ignored", Job: e.Task.Job, Task: e.Task, Run: e.Run, Worker: w.info.ID, Reason: reason})
@@ -136,7 +136,7 @@
 }
 
 // countWorkerFailure counts failures in a row at a worker. Failures of gangs and repeated
-// failures of one task are no evidence against the worker.
+// failures of one task are little evidence against the worker, and don't count.
 func (c *Core) countWorkerFailure(w *worker, t *task, now Instant) {
 	if t.step.spec.Gang || t.avoid == w.info.ID {
 		return
@@ -149,7 +149,7 @@
 	c.avoidWorker(w, "its tasks fail one after the other", now)
 }
 
-// avoidWorker excludes a worker for a while, longer each time.
+// avoidWorker excludes a worker for a while, longer each time, up to maxAvoidPause.
 func (c *Core) avoidWorker(w *worker, reason string, now Instant) {
 	if now.Steady < w.avoidUntil {
 		return
--- a/dispatch/incarnations.go
+++ b/dispatch/incarnations.go
@@ -210,8 +210,8 @@
 // mayHaveRestarted reports whether a worker may have restarted under its id since it answered
 // while another owner may be active. The next incarnation has no record of terms: it would
 // carry out a start of this owner although the other owner has read the previous incarnation's
-// lists.
-// An answer may be read long after it was given, so the time when its poll was sent counts.
+// lists. An answer may be read long after it was given, so the time when its poll was sent
+// counts.
 func (c *Core) mayHaveRestarted(w *worker, now Instant) bool {
 	return !c.holdsLease(now) && w.info.ID.Born() != 0 && now.Steady-w.answeredPollSent > incarnationFresh
 }
--- a/dispatch/jobs.go
+++ b/dispatch/jobs.go
@@ -39,7 +39,7 @@
 	remaining           int // tasks that are not done
 	pendingPredecessors int // steps of the occurrence that must be done first
 	// ready is the number of tasks in phaseReady; queued is set while the
-	// step is in Core.open.
+	// step is in Core.openSteps.
 	ready  int
 	queued bool
 	// gangRun is the run number of the gang that is active, 0 for none.
@@ -138,8 +138,8 @@
 	unsent bool
 	// lost is set if no list reported how the run ended.
 	lost bool
-	// unlisted is set while the newest lists lack a run that was known to be at the worker;
-	// unlistedAt is when the first of these lists was read; see missing.
+	// unlisted is set while the newest lists lack the run since it was last known to be at the
+	// worker; unlistedAt is when the first of these lists was read; see handleMissing.
 	unlisted   bool
 	unlistedAt time.Duration
 	tries      int // copies of the start that were sent
@@ -170,9 +170,8 @@
 	return job.TaskID{Job: t.step.job.spec.ID, Occurrence: t.step.occurrence, Step: t.step.index, Index: t.index}
 }
 
-// AddJob adds a job that the store holds. Progress is nil for a new one. A job that
-// was stored before the takeover (stored) has tasks that the previous owner may have
-// started.
+// AddJob adds a job that the store holds. Progress is nil for a new one. Stored is set for a
+// job that was stored before the takeover: the previous owner may have started its tasks.
 func (c *Core) AddJob(spec *job.Spec, progress *job.Progress, stored bool, now Instant) {
 	if _, ok := c.jobs[spec.ID]; ok || c.held[spec.ID] || c.dropped.known[spec.ID] {
 		return
--- a/dispatch/lostincarnation.go
+++ b/dispatch/lostincarnation.go
@@ -211,7 +211,7 @@
 }
 
 // maxPossibleCrashes is how many possible crashes of a task are kept: with more, the
-// proven crashes would not decide.
+// conclusive crashes would not decide.
 const maxPossibleCrashes = maxCrashes - crashLimit
 
 // addPossibleCrash records a run that may have crashed its worker, of a task without known
--- a/dispatch/lostowner_test.go
+++ b/dispatch/lostowner_test.go
@@ -25,9 +25,9 @@
 	}
 }
 
-// TestLostOwnerAndWorkersUnderTheSameID: the same, where workers restart under their ids. A task was
-// started once too often because the transfer of unresolved tasks to the next incarnation dropped
-// that the previous one was lost before its lists were read.
+// TestLostOwnerAndWorkersUnderTheSameID: the same, where workers restart under their ids. It guards
+// against a sixth start of the task, which comes about if the transfer of unresolved tasks to the
+// next incarnation drops the record that the previous one was lost before its lists were read.
 func TestLostOwnerAndWorkersUnderTheSameID(t *testing.T) {
 	for crash := 1; crash < mostStartsOfACrasher; crash++ {
 		for _, after := range []time.Duration{0, 100, 1000, 3100} {
--- a/dispatch/ownerslost_test.go
+++ b/dispatch/ownerslost_test.go
@@ -46,8 +46,8 @@
 
 // TestSeveralOwnersLostCostNoStartTooMany: at whichever crashes of a task owners are lost, and
 // however soon after them, the task is started at most as often as users allow and its job fails.
-// Crashes without any record were once counted as one for all lost owners together, which allowed
-// up to two starts too many.
+// If crashes without any record counted as one for all lost owners together, the task would be
+// started up to two times too often.
 func TestSeveralOwnersLostCostNoStartTooMany(t *testing.T) {
 	if testing.Short() {
 		t.Skip("long test, skipped with -short")
--- a/dispatch/roster.go
+++ b/dispatch/roster.go
@@ -8,7 +8,7 @@
 
 // RosterEntry is a worker that the owner may have sent orders to.
 type RosterEntry struct {
-	// ID names the incarnation. It is stored as the worker's id and Born, its time of birth.
+	// ID names the incarnation. It is stored as the worker's id and Born, its start time.
 	ID      WorkerID `json:"id"`
 	Born    int64    `json:"born,omitempty"`
 	Address string   `json:"address"`
--- a/dispatch/silence.go
+++ b/dispatch/silence.go
@@ -7,7 +7,7 @@
 )
 
 // tickWorker repeats stops at a worker, gives up the runs at a silent worker whose leases
-// have expired, and forgets a silent worker that is not needed.
+// have expired, and forgets a silent worker that is not listed and has no tasks.
 func (c *Core) tickWorker(w *worker, now Instant) {
 	if w.endReason != "" {
 		c.endIncarnation(w, w.endReason, now)
--- a/dispatch/sim_restart_test.go
+++ b/dispatch/sim_restart_test.go
@@ -10,7 +10,7 @@
 
 // sameIDFaults has workers restart under their ids, where it is switched on.
 type sameIDFaults struct {
-	// sameID: all incarnations at a place have one id, and report their birth time.
+	// sameID: all incarnations at a place have one id, and report their start time.
 	sameID bool
 	// restartsPlayed counts the incarnations that followed another one under its id.
 	restartsPlayed int
--- a/dispatch/startrecord.go
+++ b/dispatch/startrecord.go
@@ -40,8 +40,8 @@
 // HasUnsentStarts reports whether starts wait for the store.
 func (c *Core) HasUnsentStarts() bool { return len(c.unsentStarts) > 0 }
 
-// sendRecordedStarts sends the starts whose records the store holds by now. One that has waited longer than
-// startWindow, or whose worker gets no more starts, is released.
+// sendRecordedStarts sends the starts whose records the store holds by now. One that has
+// waited longer than startWindow, or whose worker gets no more starts, is released.
 func (c *Core) sendRecordedStarts(now Instant) {
 	list := c.unsentStarts
 	c.unsentStarts = nil
--- a/dispatch/suspect_test.go
+++ b/dispatch/suspect_test.go
@@ -91,7 +91,7 @@
 }
 
 // TestManyCrashersAreDistinguished: several tasks that crash their workers at once, including some
-// that were started together, are all given up after a few workers each, and no other task is.
+// that were started together, are all given up within maxCrashes workers each, and no other task is.
 func TestManyCrashersAreDistinguished(t *testing.T) {
 	f := newCrashFleet(t, 24)
 	good := simpleJob(50, 100)
--- a/dispatch/unconfirmed_test.go
+++ b/dispatch/unconfirmed_test.go
@@ -9,8 +9,8 @@
 )
 
 // TestUnansweredStartsBlameNoTask: starts that are lost on their way prove nothing about crashes of
-// their workers afterwards, whenever these come. A job failed for good although two of its three
-// counted runs had never started; here it is kept and its task runs.
+// their workers afterwards, whenever these come. Otherwise a job whose task crashes no worker fails
+// for good, though some of the counted runs have never started.
 func TestUnansweredStartsBlameNoTask(t *testing.T) {
 	if testing.Short() {
 		t.Skip("long test, skipped with -short")
--- a/dispatch/worker.go
+++ b/dispatch/worker.go
@@ -89,7 +89,7 @@
 	unansweredCalls         int
 	failedPolls             int
 	knownAt                 time.Duration // when the owner first had a record of it
-	lastPollAnswer          time.Duration // to a poll
+	lastPollAnswer          time.Duration // when it last answered a poll
 	lastContact             time.Duration // when it last answered any call
 	loss                    contactLoss
 	placedAt                time.Duration // when a run was last ordered there
@@ -115,7 +115,7 @@
 	slowness                float64       // logarithm of its run times relative to the usual ones, smoothed
 	speedMeasures           int
 	overTarget              time.Duration   // how long a task was over its target, by the newest list
-	paceScale               float64         // factor on the paces of its fill tasks, up to 1
+	paceScale               float64         // factor on the paces of its fill tasks, from 0.05 to 1
 	recorded                bool            // the stored roster has an open entry of it; see roster
 	placementBlocks         placementBlocks // as of the latest pass
 }
