--- a/dispatch/sim_faults_test.go
+++ b/dispatch/sim_faults_test.go
@@ -11,7 +11,7 @@
 // moreFaults holds the faults of the simulation that are injected only where they are switched on,
 // and the safeguards against them that can be switched off.
 type moreFaults struct {
-	// refuseShare of the starts are refused by an unwell worker, without effect.
+	// refuseShare of the starts are refused with OutcomeUnwell and not carried out.
 	refuseShare float64
 	// noCapacityShare of the starts are refused for lack of capacity.
 	noCapacityShare float64
@@ -160,7 +160,8 @@
 	return time.Duration(1+s.rng.IntN(60)) * time.Millisecond
 }
 
-// refuses reports whether the worker is unwell when a start arrives.
+// refuses reports whether the worker refuses a start with OutcomeUnwell: until unwellUntil, and
+// refuseShare of the starts at any time.
 func (w *simWorker) refuses() bool {
 	if w.sim.now >= w.unwellUntil && !w.sim.chance(w.sim.refuseShare) {
 		return false
