--- a/cmd/leverstile/jobsdemo.go
+++ b/cmd/leverstile/jobsdemo.go
@@ -71,7 +71,7 @@
 	running sync.WaitGroup
 }
 
-// start starts an entry in this process.
+// startEntry starts an entry in this process.
 func (d *jobsDemo) startEntry(ctx context.Context, name, store string) error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/cmd/leverstile/jobsdemo_test.go
+++ b/cmd/leverstile/jobsdemo_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Guards against a demo that ends without showing each state of its jobs.
+// TestJobsDemo guards against a demo that ends without showing each state of its jobs.
 func TestJobsDemo(t *testing.T) {
 	var out bytes.Buffer
 	if err := runJobsDemo(&out); err != nil {
--- a/cmd/leverstile/losses_test.go
+++ b/cmd/leverstile/losses_test.go
@@ -23,8 +23,8 @@
 {"time":"2026-01-01T10:00:07.000Z","entry":"e2","event":"job_succeeded","job":"dd"}
 `
 
-// Guards against reasons that are missing for slow jobs or printed for jobs
-// outside the slowest share.
+// TestLossesReportsReasonsOfSlowestJobs guards against reasons that are missing for slow jobs
+// or printed for jobs outside the slowest share.
 func TestLossesReportsReasonsOfSlowestJobs(t *testing.T) {
 	l := newLosses()
 	if err := readLog(strings.NewReader(lossesLog), l.recordLine); err != nil {
--- a/cmd/leverstile/main_test.go
+++ b/cmd/leverstile/main_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// Guards against errors that end the process with a wrong exit code.
+// TestExitCodes guards against errors that end the process with a wrong exit code.
 func TestExitCodes(t *testing.T) {
 	for _, c := range []struct {
 		err  error
--- a/cmd/leverstile/trace_test.go
+++ b/cmd/leverstile/trace_test.go
@@ -15,8 +15,8 @@
 {"time":"2026-01-01T10:00:04.000Z","entry":"e2","event":"run_done","job":"aa","task":"aa.0.0.0","worker":"w1"}
 `
 
-// Guards against lines of other jobs in the trace, and events of the system from
-// before the job's first line.
+// TestTraceFollowsOneJob guards against lines of other jobs in the trace, and events of the
+// system from before the job's first line.
 func TestTraceFollowsOneJob(t *testing.T) {
 	var out bytes.Buffer
 	tr := tracer{job: "aa", out: &out}
--- a/node/node.go
+++ b/node/node.go
@@ -143,7 +143,7 @@
 	n.log.Info().Str("event", "owner_seen").Str("owner", lead.Entry).Uint64("term", lead.Term).Msg("")
 }
 
-// storeChanged logs that the store has begun or ceased to answer this entry.
+// storeChanged logs that the store has started or stopped answering this entry.
 func (n *Node) storeChanged(up bool, err error) {
 	if up {
 		n.relayed.Store(false)
--- a/node/pacer.go
+++ b/node/pacer.go
@@ -92,7 +92,7 @@
 	return min(batch+batchGrowth, maxBatch)
 }
 
-// awaitEligible waits for a turn of the pacer. It reports false if ctx ended before.
+// awaitTurn waits for a turn of the pacer. It reports false if ctx ended before.
 func awaitTurn(ctx context.Context, turn <-chan struct{}) bool {
 	select {
 	case <-turn:
--- a/node/peers.go
+++ b/node/peers.go
@@ -166,8 +166,9 @@
 	return connect.NewResponse(&jobsv1.CountPendingResponse{Owner: true, Pending: int64(o.pendingOf(req.Msg.GetQueue()))}), nil
 }
 
-// mayRecord reports whether this entry may record another entry's request without asking
-// the owner: a request is passed on once, from an entry to the owner, and no further.
+// mayRecord reports whether this entry can record another entry's request itself, because the
+// store answers it or because it is the owner. Otherwise the request is refused: requests are
+// passed on only once, from an entry to the owner.
 func (n *Node) mayRecord() bool { return !n.store.Down() || n.current.Load() != nil }
 
 // SubmitJob implements jobsv1connect.OwnerHandler.
--- a/node/reread_test.go
+++ b/node/reread_test.go
@@ -91,10 +91,10 @@
 	return c
 }
 
-// Guards against a second run of an ended job after the store has compacted its history.
-// The owner drops an ended job from its memory, and removes its records later, when no
-// other write is waiting. If its watch of jobs fails in between, it reads all records
-// again, and would take those of the dropped job for a new one. A busy owner always has
+// TestDroppedJobsAreNotRunAgain guards against a second run of an ended job after the store has
+// compacted its history. The owner drops an ended job from its memory, and removes its records
+// later, when no other write is waiting. If its watch of jobs fails in between, it reads all
+// records again, and would take those of the dropped job for a new one. A busy owner always has
 // other writes waiting.
 func TestDroppedJobsAreNotRunAgain(t *testing.T) {
 	store := &removals{refused: true}
@@ -114,9 +114,9 @@
 	}
 }
 
-// Guards against a second run of a job that the watch reports only after its records were
-// removed: the owner received it by a hint, while its watch was silent for longer than
-// records of ended jobs are kept.
+// TestRemovedJobsAreNotRunAgain guards against a second run of a job that the watch reports only
+// after its records were removed: the owner received it by a hint, while its watch was silent for
+// longer than records of ended jobs are kept.
 func TestRemovedJobsAreNotRunAgain(t *testing.T) {
 	store := &removals{}
 	store.withheld.Store(true)
--- a/node/restart_test.go
+++ b/node/restart_test.go
@@ -48,7 +48,7 @@
 //
 // Their worker crashes and starts again under its id. An owner that takes the answers of the
 // new incarnation for those of the old one does not read its lists if its clock is behind the
-// old one: they count as overtaken by newer answers, and the tasks count as running for good.
+// old one: they count as overtaken by newer answers, and the tasks count as running for ever.
 // With a clock that starts ahead of the old one, the tasks start again at once. No log line
 // reports the end of the old incarnation.
 func TestLongRunningTaskAfterARestartUnderTheSameID(t *testing.T) {
--- a/node/wallclock_test.go
+++ b/node/wallclock_test.go
@@ -7,7 +7,7 @@
 	"github.com/phuslu/log"
 )
 
-// A clock that jumps and comes back is not followed; one that drifts or was set for good is.
+// A clock that jumps and comes back is not followed; one that drifts or was set permanently is.
 func TestWallClockDelaysJumps(t *testing.T) {
 	const start = 1_700_000_000_000
 	for _, x := range []struct {
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -109,7 +109,7 @@
 	}
 }
 
-// maxProcessPause, the longest pause of a slowed process, stays below the time that counts as a freeze.
+// maxProcessPause is the longest pause of a slowed process, below the time that counts as a freeze.
 const maxProcessPause = 480 * time.Millisecond
 
 // pause stops a process for a time.
@@ -119,8 +119,9 @@
 	_ = p.cmd.Process.Signal(syscall.SIGCONT)
 }
 
-// suspend stops a process as if its VM were suspended: the package clock leaves the time out
-// of the process's monotonic clock, by the file that suspend writes.
+// suspend stops a process as if its VM were suspended. The signal alone leaves the monotonic
+// clock running: a process built with the tag suspendable subtracts the time in the file that
+// suspend writes.
 func (w *world) suspend(p *process, length time.Duration) {
 	_ = p.cmd.Process.Signal(syscall.SIGSTOP)
 	time.Sleep(length)
