--- a/cmd/leverstile/demo.go
+++ b/cmd/leverstile/demo.go
@@ -384,7 +384,7 @@
 }
 
 // printTable prints the numbers of requests, tasks, evictions and store calls,
-// and records a violation if a task's evictions and resumptions differ.
+// and records a violation if the evictions and resumptions of an app's tasks differ.
 func (d *demo) printTable() {
 	tw := tabwriter.NewWriter(d.out, 0, 4, 2, ' ', 0)
 	defer tw.Flush()
--- a/soak/process_test.go
+++ b/soak/process_test.go
@@ -39,8 +39,8 @@
 restore_ms = 100
 `
 
-// process is one leverstile node. A fault that signals it holds signals, one of its
-// connection to the store holds path.
+// process is one leverstile node. A fault that signals it locks signals, one of its
+// connection to the store locks path.
 type process struct {
 	name  string
 	front string
