--- a/cell/attempts.go
+++ b/cell/attempts.go
@@ -127,8 +127,9 @@
 }
 
 // blameWorker reports whether a failure counts as the worker's rather than the
-// task's: many tasks in a row that had not failed elsewhere failed there, without
-// a success. It puts such a worker into quarantine.
+// task's: quarantineThreshold tasks in a row that had not failed before failed
+// there, without a success. It puts such a worker into quarantine unless too many
+// are in quarantine already.
 func (o *Owner) blameWorker(now time.Duration, w *worker, t *task) bool {
 	if t.failures == 0 {
 		w.failuresInRow++
--- a/cell/owner.go
+++ b/cell/owner.go
@@ -25,14 +25,15 @@
 	// renewing the leases of running tasks. A new owner waits for it to pass
 	// before it gives up a worker that it can't reach.
 	OutageGrace time.Duration
-	// RetryEvery is the wait after a call to a worker that got no answer.
+	// ClockMargin covers the difference in rate between the clocks of two machines
+	// over TaskLease.
 	ClockMargin time.Duration
 	// HeartbeatEvery is how long a worker may hold its answer when idle.
 	HeartbeatEvery time.Duration
 	// RetryEvery is the wait after a call to a worker without an answer.
 	RetryEvery time.Duration
-	// StoreSilence is how long a commit may go unanswered before submissions
-	// are refused.
+	// StoreSilence is how long a commit may wait for the store's answer before
+	// submissions and cancellations are refused.
 	StoreSilence time.Duration
 	// MaxFailures is the number of different workers on which a task must fail to
 	// fail for good. Twice as many failures in all have the same effect.
@@ -49,7 +50,7 @@
 	// NoSelfFence makes an owner continue after its lease. NoStartCommit sends
 	// starts to workers before they are durable, NoAckCommit acknowledges ended
 	// attempts before their ends are. NoTakeoverWait gives up unreachable workers
-	// at once. Tests use them to show that the checks of the simulation notice.
+	// at once. Tests use them to show that their checks detect it.
 	NoSelfFence, NoStartCommit, NoAckCommit, NoTakeoverWait bool
 }
 
--- a/cell/owner_fuzz_test.go
+++ b/cell/owner_fuzz_test.go
@@ -10,7 +10,7 @@
 	"leverstile.dev/standin"
 )
 
-// The seeds are fixed so that each run gives the same result; -rapid.seed sets others.
+// Fixed seeds give each run the same verdict; -rapid.seed sets others.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
@@ -52,7 +52,7 @@
 }
 
 // TestOwnerSeeds runs many more histories than rapid does, from fixed seeds, and
-// checks that they reach takeovers and evictions.
+// checks that they contain enough takeovers, evictions and acknowledged tasks.
 func TestOwnerSeeds(t *testing.T) {
 	runs := 300 + *extraRuns
 	if testing.Short() {
--- a/cell/replay/replay.go
+++ b/cell/replay/replay.go
@@ -1,5 +1,5 @@
 // Package replay runs recorded traces of batch work and faults through a cell's
-// owner and simulated workers, in simulated time, and measures the effect on
+// owner and stand-in workers, in simulated time, and measures the effect on
 // services, groups and tasks.
 package replay
 
--- a/cell/sim_test.go
+++ b/cell/sim_test.go
@@ -18,7 +18,7 @@
 	"leverstile.dev/standin"
 )
 
-// The simulation drives several Owners of one cell against simulated stores and
+// The simulation drives several Owners of one cell against the stand-in store and
 // workers: each message is delivered, lost or delayed, one at a time. It checks the
 // invariants against the workers' own run records.
 
--- a/cell/table.go
+++ b/cell/table.go
@@ -56,7 +56,7 @@
 
 	// seq orders tasks by submission.
 	seq uint64
-	// pos is the journal position of the task's last record.
+	// lastRecordPos is the journal position of the task's last record.
 	lastRecordPos uint64
 	// startPos is the journal position of the attempt's start. A worker is sent
 	// the start only once that is committed.
--- a/cell/workers.go
+++ b/cell/workers.go
@@ -193,7 +193,7 @@
 	o.workerOrder = nil
 }
 
-// sorted returns all workers in order of id.
+// sortedWorkers returns all workers in order of id.
 func (o *Owner) sortedWorkers() []*worker {
 	if o.workerOrder != nil {
 		return o.workerOrder
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -28,7 +28,7 @@
 	// requests are refused.
 	StoreSilence time.Duration
 	// NoCommit grants claims before they are durable; tests use it to show that
-	// the oracle detects it.
+	// their checks detect it.
 	NoCommit bool
 }
 
@@ -161,8 +161,9 @@
 }
 
 // Claim grants a key to one request. The key is never granted to another one
-// unless the first is proven not to have run. Repeats get the state of the first
-// request's claim. The same request may ask again after its answer was lost.
+// unless the first is proven not to have run, or its claim has ended and the
+// retention time has passed. Repeats get the state of the first request's claim.
+// The same request may ask again after its answer was lost.
 func (o *Owner) Claim(now time.Duration, wall time.Time, ticket uint64, r Request) {
 	if o.refuse(now, ticket) {
 		return
--- a/claim/claim_fuzz_test.go
+++ b/claim/claim_fuzz_test.go
@@ -19,7 +19,7 @@
 	"leverstile.dev/standin"
 )
 
-// Fixed seeds make each run give the same verdict; -rapid.seed sets others.
+// Fixed seeds give each run the same verdict; -rapid.seed sets others.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -65,9 +65,9 @@
 	return live
 }
 
-// Rank returns the ids of entries in a shard's order of preference. Entries in
-// the data centre that the shard's name begins with come first, because the
-// shard's workers are there.
+// Rank returns the ids of entries in a shard's order of preference. Entries
+// whose place the name of a cell's shard begins with, after "cell-", come first,
+// because the shard's workers are there.
 func Rank(shard string, entries []Entry) []string {
 	type ranked struct {
 		id   string
--- a/router/replay/replay.go
+++ b/router/replay/replay.go
@@ -1,5 +1,5 @@
 // Package replay simulates recorded arrivals and endpoint faults against routing
-// tables, one per entry, in virtual time, and measures what callers see. It uses
+// tables, one per entry, in simulated time, and measures what callers see. It uses
 // no network and no processes: it runs the events of a trace in order.
 package replay
 
@@ -135,7 +135,7 @@
 	endpoint      int
 }
 
-// player simulates one trace in virtual time.
+// player simulates one trace in simulated time.
 type player struct {
 	trace     *Trace
 	now       time.Duration
--- a/router/router.go
+++ b/router/router.go
@@ -305,7 +305,7 @@
 	return false
 }
 
-// SetPeerLoad records what a peer has in flight, by endpoint ID.
+// SetPeerLoad records what a peer has in flight, by endpoint id.
 func (t *Table) SetPeerLoad(now time.Duration, peer string, counts map[string]int) {
 	t.peers[peer] = peerLoad{now, counts}
 	for _, e := range t.endpoints {
@@ -324,7 +324,7 @@
 	}
 }
 
-// Load returns this entry's requests in flight by endpoint ID, without zeros.
+// Load returns this entry's requests in flight by endpoint id, without zeros.
 func (t *Table) Load() map[string]int {
 	out := map[string]int{}
 	for _, e := range t.endpoints {
--- a/scheduler/filter_interference.go
+++ b/scheduler/filter_interference.go
@@ -1,7 +1,8 @@
 package scheduler
 
 // interferenceFilter rejects VMs where the task would slow a service down beyond
-// the tolerated factor. It is the step before those of Ladder.
+// the tolerated factor. This avoids what Ladder corrects later by throttling and
+// eviction.
 type interferenceFilter struct{ model *Interference }
 
 func (interferenceFilter) Name() string { return "interference" }
--- a/scheduler/plan.go
+++ b/scheduler/plan.go
@@ -288,7 +288,8 @@
 		}
 	}
 	w.Running = rest
-	// The capacity is reserved for t: this round places no other task on it.
+	// The capacity is reserved for t: this round places no other task on it,
+	// except urgent ones.
 	w.reservedFor = t.ID
 }
 
--- a/scheduler/shares.go
+++ b/scheduler/shares.go
@@ -191,8 +191,7 @@
 	return s.dominant(g.subtree) / max(g.spec.Share, minShare)
 }
 
-// minShare replaces the share of a group that is not declared and prevents a
-// division by zero.
+// minShare replaces a share of zero, which would cause a division by zero.
 const minShare = 1e-9
 
 // path returns a group and its ancestors, the topmost first.
--- a/shard/core.go
+++ b/shard/core.go
@@ -64,7 +64,7 @@
 	// SnapshotBytes is the size of the journal at which a snapshot is written.
 	SnapshotBytes int
 	// NoTermCheck commits without checking the term; tests use it to show that
-	// an oracle detects it.
+	// their checks detect it.
 	NoTermCheck bool
 }
 
--- a/standin/worker.go
+++ b/standin/worker.go
@@ -83,8 +83,8 @@
 	changed chan struct{}
 	// runs holds all attempts that were started, over all reboots.
 	runs []*Run
-	// SlowdownOf, if set, returns the slowdowns of the VM's services for the
-	// numbers of running tasks by kind.
+	// SlowdownOf, if set, returns the slow-downs of the VM's services for the
+	// numbers of running tasks by kind, without throttled tasks.
 	SlowdownOf func(kinds map[string]int, now time.Duration) []fleet.Slowdown
 	// SampleLag is the delay after which samples of Measure reach the owner.
 	SampleLag      time.Duration
@@ -386,7 +386,7 @@
 	})
 }
 
-// Measure records a usage and slowdown sample at now. The sample reaches the
+// Measure records a usage and slow-down sample at now. The sample reaches the
 // owner with the first reply after SampleLag.
 func (w *Worker) Measure(now time.Duration) {
 	w.mu.Lock()
