--- a/router/replay/central.go
+++ b/router/replay/central.go
@@ -10,7 +10,7 @@
 )
 
 // Central replays a trace with one queue that knows the state of all endpoints:
-// a request takes a free slot of the fastest endpoint as soon as there is one. No
+// a request takes a slot of the fastest endpoint that has a free one, at once. No
 // policy of several entries has that information; the result is the reference
 // for them.
 func Central(t *Trace) Outcome {
--- a/router/replay/replay.go
+++ b/router/replay/replay.go
@@ -135,7 +135,7 @@
 	endpoint      int
 }
 
-// player simulates one trace in simulated time.
+// player runs one trace in simulated time.
 type player struct {
 	trace     *Trace
 	now       time.Duration
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -11,8 +11,8 @@
 	"leverstile.dev/fleet"
 )
 
-// Worker is a VM as the planner sees it. Plan changes Free, Kinds and Running
-// for each task that it places; see Plan.
+// Worker is a VM as the planner sees it. Plan changes Free and Kinds for each task
+// that it places, and removes from Running the tasks that it evicts.
 type Worker struct {
 	ID     string
 	Place  string
