--- a/dispatch/pace.go
+++ b/dispatch/pace.go
@@ -36,7 +36,7 @@
 	// cpuSmoothing is the weight of a new reading of processor use.
 	cpuSmoothing = 0.5
 	// fillReadingWarmup is the age of a fill below which its reading is not representative yet.
-	recentRun = 700 * time.Millisecond
+	fillReadingWarmup = 700 * time.Millisecond
 	// minPaceRead is the pace below which a reading of processor use does not
 	// predict what the fill would use at its full pace.
 	minPaceRead = 40
@@ -54,7 +54,7 @@
 		return
 	}
 	a.lastReading = float64(row.Reading)
-	if now.Steady-a.started < recentRun || a.ackedPace < minPaceRead {
+	if now.Steady-a.started < fillReadingWarmup || a.ackedPace < minPaceRead {
 		return
 	}
 	full := float64(row.Reading) * fullPace / float64(a.ackedPace)
