--- a/api/gen/leverstile/jobs/v1/jobsv1connect/jobs.connect.go
+++ b/api/gen/leverstile/jobs/v1/jobsv1connect/jobs.connect.go
@@ -72,23 +72,23 @@
 
 // OwnerClient is a client for the leverstile.jobs.v1.Owner service.
 type OwnerClient interface {
-	// GetJob returns a job's state as the owner knows it.
+	// GetJob returns a job's state according to the owner's records.
 	GetJob(context.Context, *connect.Request[v1.GetJobRequest]) (*connect.Response[v1.GetJobResponse], error)
-	// CountPending returns how many jobs of a queue have not begun.
+	// CountPending returns how many jobs of a queue have not started.
 	CountPending(context.Context, *connect.Request[v1.CountPendingRequest]) (*connect.Response[v1.CountPendingResponse], error)
-	// AdmitJob tells whether the cell expects room for a job before it is recorded.
+	// AdmitJob checks, before a job is recorded, whether the cell expects capacity for it.
 	AdmitJob(context.Context, *connect.Request[v1.AdmitJobRequest]) (*connect.Response[v1.AdmitJobResponse], error)
 	// SubmitJob records a job for an entry that can't reach the store.
 	SubmitJob(context.Context, *connect.Request[v1.SubmitJobRequest]) (*connect.Response[v1.SubmitJobResponse], error)
 	// CancelJob records a cancellation for an entry that can't reach the store.
 	CancelJob(context.Context, *connect.Request[v1.CancelJobRequest]) (*connect.Response[v1.CancelJobResponse], error)
-	// NoteIntake tells the owner what the caller has just recorded, so that it
-	// need not wait for its watch of the store.
+	// NoteIntake reports to the owner what the caller has just recorded, so that
+	// the owner need not wait for its watch of the store.
 	NoteIntake(context.Context, *connect.Request[v1.NoteIntakeRequest]) (*connect.Response[v1.NoteIntakeResponse], error)
-	// NoteEvacuations tells the owner of data centres that the operators have
-	// evacuated or taken back, in case its own watch of the store is silent.
+	// NoteEvacuations reports to the owner the data centres whose evacuation the
+	// operators have ordered or lifted, in case its own watch of the store is silent.
 	NoteEvacuations(context.Context, *connect.Request[v1.NoteEvacuationsRequest]) (*connect.Response[v1.NoteEvacuationsResponse], error)
-	// ExplainJob tells where a job's tasks run and why others wait.
+	// ExplainJob returns where a job's tasks run and why others wait.
 	ExplainJob(context.Context, *connect.Request[v1.ExplainJobRequest]) (*connect.Response[v1.ExplainJobResponse], error)
 }
 
@@ -208,23 +208,23 @@
 
 // OwnerHandler is an implementation of the leverstile.jobs.v1.Owner service.
 type OwnerHandler interface {
-	// GetJob returns a job's state as the owner knows it.
+	// GetJob returns a job's state according to the owner's records.
 	GetJob(context.Context, *connect.Request[v1.GetJobRequest]) (*connect.Response[v1.GetJobResponse], error)
-	// CountPending returns how many jobs of a queue have not begun.
+	// CountPending returns how many jobs of a queue have not started.
 	CountPending(context.Context, *connect.Request[v1.CountPendingRequest]) (*connect.Response[v1.CountPendingResponse], error)
-	// AdmitJob tells whether the cell expects room for a job before it is recorded.
+	// AdmitJob checks, before a job is recorded, whether the cell expects capacity for it.
 	AdmitJob(context.Context, *connect.Request[v1.AdmitJobRequest]) (*connect.Response[v1.AdmitJobResponse], error)
 	// SubmitJob records a job for an entry that can't reach the store.
 	SubmitJob(context.Context, *connect.Request[v1.SubmitJobRequest]) (*connect.Response[v1.SubmitJobResponse], error)
 	// CancelJob records a cancellation for an entry that can't reach the store.
 	CancelJob(context.Context, *connect.Request[v1.CancelJobRequest]) (*connect.Response[v1.CancelJobResponse], error)
-	// NoteIntake tells the owner what the caller has just recorded, so that it
-	// need not wait for its watch of the store.
+	// NoteIntake reports to the owner what the caller has just recorded, so that
+	// the owner need not wait for its watch of the store.
 	NoteIntake(context.Context, *connect.Request[v1.NoteIntakeRequest]) (*connect.Response[v1.NoteIntakeResponse], error)
-	// NoteEvacuations tells the owner of data centres that the operators have
-	// evacuated or taken back, in case its own watch of the store is silent.
+	// NoteEvacuations reports to the owner the data centres whose evacuation the
+	// operators have ordered or lifted, in case its own watch of the store is silent.
 	NoteEvacuations(context.Context, *connect.Request[v1.NoteEvacuationsRequest]) (*connect.Response[v1.NoteEvacuationsResponse], error)
-	// ExplainJob tells where a job's tasks run and why others wait.
+	// ExplainJob returns where a job's tasks run and why others wait.
 	ExplainJob(context.Context, *connect.Request[v1.ExplainJobRequest]) (*connect.Response[v1.ExplainJobResponse], error)
 }
 
@@ -344,9 +344,9 @@
 
 // RelayClient is a client for the leverstile.jobs.v1.Relay service.
 type RelayClient interface {
-	// RenewLease renews a lease of the caller's.
+	// RenewLease renews a lease of the caller.
 	RenewLease(context.Context, *connect.Request[v1.RenewLeaseRequest]) (*connect.Response[v1.RenewLeaseResponse], error)
-	// Write carries out a transaction of the caller's.
+	// Write executes a transaction for the caller.
 	Write(context.Context, *connect.Request[v1.WriteRequest]) (*connect.Response[v1.WriteResponse], error)
 }
 
@@ -394,9 +394,9 @@
 
 // RelayHandler is an implementation of the leverstile.jobs.v1.Relay service.
 type RelayHandler interface {
-	// RenewLease renews a lease of the caller's.
+	// RenewLease renews a lease of the caller.
 	RenewLease(context.Context, *connect.Request[v1.RenewLeaseRequest]) (*connect.Response[v1.RenewLeaseResponse], error)
-	// Write carries out a transaction of the caller's.
+	// Write executes a transaction for the caller.
 	Write(context.Context, *connect.Request[v1.WriteRequest]) (*connect.Response[v1.WriteResponse], error)
 }
 
@@ -444,13 +444,13 @@
 
 // JobsClient is a client for the leverstile.jobs.v1.Jobs service.
 type JobsClient interface {
-	// Submit checks and records a job. Submitting it again is safe.
+	// Submit validates and records a job. Submitting the same job again is safe.
 	Submit(context.Context, *connect.Request[v1.SubmitRequest]) (*connect.Response[v1.SubmitResponse], error)
 	Get(context.Context, *connect.Request[v1.GetRequest]) (*connect.Response[v1.GetResponse], error)
 	Cancel(context.Context, *connect.Request[v1.CancelRequest]) (*connect.Response[v1.CancelResponse], error)
-	// Pending counts a queue's jobs that have not begun.
+	// Pending returns how many jobs of a queue have not started.
 	Pending(context.Context, *connect.Request[v1.PendingRequest]) (*connect.Response[v1.PendingResponse], error)
-	// Explain tells where a job's tasks run and why others wait.
+	// Explain returns where a job's tasks run and why others wait.
 	Explain(context.Context, *connect.Request[v1.ExplainRequest]) (*connect.Response[v1.ExplainResponse], error)
 }
 
@@ -534,13 +534,13 @@
 
 // JobsHandler is an implementation of the leverstile.jobs.v1.Jobs service.
 type JobsHandler interface {
-	// Submit checks and records a job. Submitting it again is safe.
+	// Submit validates and records a job. Submitting the same job again is safe.
 	Submit(context.Context, *connect.Request[v1.SubmitRequest]) (*connect.Response[v1.SubmitResponse], error)
 	Get(context.Context, *connect.Request[v1.GetRequest]) (*connect.Response[v1.GetResponse], error)
 	Cancel(context.Context, *connect.Request[v1.CancelRequest]) (*connect.Response[v1.CancelResponse], error)
-	// Pending counts a queue's jobs that have not begun.
+	// Pending returns how many jobs of a queue have not started.
 	Pending(context.Context, *connect.Request[v1.PendingRequest]) (*connect.Response[v1.PendingResponse], error)
-	// Explain tells where a job's tasks run and why others wait.
+	// Explain returns where a job's tasks run and why others wait.
 	Explain(context.Context, *connect.Request[v1.ExplainRequest]) (*connect.Response[v1.ExplainResponse], error)
 }
 
--- a/api/gen/leverstile/peer/v1/peerv1connect/peer.connect.go
+++ b/api/gen/leverstile/peer/v1/peerv1connect/peer.connect.go
@@ -52,7 +52,7 @@
 
 // PeerClient is a client for the leverstile.peer.v1.Peer service.
 type PeerClient interface {
-	// Exchange swaps what both sides know: revisions, leaving VMs, use by groups.
+	// Exchange exchanges the views of both entries: revisions, leaving VMs, usage by groups.
 	Exchange(context.Context, *connect.Request[v1.ExchangeRequest]) (*connect.Response[v1.ExchangeResponse], error)
 	// GetDeclarations returns the callee's accepted declarations.
 	GetDeclarations(context.Context, *connect.Request[v1.GetDeclarationsRequest]) (*connect.Response[v1.GetDeclarationsResponse], error)
@@ -167,7 +167,7 @@
 
 // PeerHandler is an implementation of the leverstile.peer.v1.Peer service.
 type PeerHandler interface {
-	// Exchange swaps what both sides know: revisions, leaving VMs, use by groups.
+	// Exchange exchanges the views of both entries: revisions, leaving VMs, usage by groups.
 	Exchange(context.Context, *connect.Request[v1.ExchangeRequest]) (*connect.Response[v1.ExchangeResponse], error)
 	// GetDeclarations returns the callee's accepted declarations.
 	GetDeclarations(context.Context, *connect.Request[v1.GetDeclarationsRequest]) (*connect.Response[v1.GetDeclarationsResponse], error)
