--- a/dispatch/interference.go
+++ b/dispatch/interference.go
@@ -23,10 +23,10 @@
 	images map[string]*regression
 }
 
-// Parameters of the model; docs/design/interference.md has the runs behind them.
+// Parameters of the model; see docs/design/interference.md.
 const (
-	// priorPair is the expected coefficient of a pair that was not seen yet.
-	// On recorded days a third of the pairs have 4 to 9, the others under 1.
+	// priorPair is the expected coefficient of a pair that was not seen yet. A third of
+	// the pairs have 4 to 9, the others under 1.
 	priorPair    = 2.0
 	priorPairVar = 9.0
 	// differenceVar is the variance of a difference of readings that the model
--- a/dispatch/rank.go
+++ b/dispatch/rank.go
@@ -38,10 +38,8 @@
 // each ends a little too late. The job with the smallest remaining share gives the most
 // value for the capacity that it still needs, whatever its size: shares, not amounts, so
 // that large jobs do not starve behind small ones. A late job is weighted by its
-// remaining value: nearly done it goes before one that has not started. On five days with
-// more fill work than fits, this gave 0.708 instead of 0.624 of the value on average (one
-// run a day); on days where most fits, the value is the same (24 paired runs, 0.006 ± 0.004
-// more).
+// remaining value: nearly done it goes before one that has not started. Where most work
+// fits, this order costs no value.
 type rank struct {
 	priority int
 	class    rankClass
--- a/dispatch/score.go
+++ b/dispatch/score.go
@@ -25,8 +25,7 @@
 	// first. It exceeds all other terms: a worker that fails all it starts is
 	// recognized only after three failures, and a second failure may be a task's last.
 	// A single failure says little: tasks fail in 2% to 5% of their runs, and ranking each
-	// such worker last keeps fills off workers where they do no harm (on a dense day 0.53
-	// instead of 0.58 of the value, 4 and 5 runs).
+	// such worker last keeps fills off workers where they do no harm.
 	failWeight = 3.0
 	// coldWeight ranks a worker that is still cold behind all warm ones, whose scores
 	// differ by less, and before those that are slow or fail: a data centre that returns
--- a/dispatch/tail.go
+++ b/dispatch/tail.go
@@ -14,7 +14,7 @@
 	// are not representative.
 	readingWarmup = 1 * time.Second
 	// priorBaseHeadroom is the headroom that a task is assumed to have without fills
-	// before its first readings: recorded ones swing between 1.6 and 4.
+	// before its first readings. Headroom without fills swings between 1.6 and 4.
 	priorBaseHeadroom = 2.2
 	// maxHeadroom limits headroom: beyond it a tail latency is a few milliseconds, and
 	// rounding dominates it.
--- a/node/owner.go
+++ b/node/owner.go
@@ -27,9 +27,7 @@
 	// time, at orderBytes a start, which are mostly the job's payload. A call times out
 	// after 400 ms and is sent again: with 256 in flight on 2 Mbit/s, 1,205 calls got no
 	// answer in the first 4 s, 291 starts were confirmed, and leases expired since polls
-	// came late. With this bound 0.17 instead of 0.05 of the work was served there, and no
-	// lease expired on a day without faults; half and twice of linkWindow give the same
-	// result.
+	// came late.
 	linkWindow = 100 * time.Millisecond
 	orderBytes = 2700
 	// minOrders may be in flight however small the link is.
--- a/router/limit.go
+++ b/router/limit.go
@@ -6,7 +6,7 @@
 // fixed fraction of answers: few enough to cost little, enough to notice when
 // others need less. Answers raise it by a constant, refusals lower it in
 // proportion to its size, so that entries with the same load converge to the
-// same limit (Chiu and Jain 1989). docs/design/limits.md has the measurements.
+// same limit (Chiu and Jain 1989). See docs/design/limits.md.
 type concurrencyLimit struct {
 	// value is zero until the first refusal, which means no limit.
 	value float64
--- a/router/policy.go
+++ b/router/policy.go
@@ -10,8 +10,7 @@
 	Pick(t *Table, now time.Duration, tried []*endpoint) (*endpoint, int)
 }
 
-// DefaultPolicy returns the policy in use; docs/design/endpoint-choice.md has
-// the measurements behind the choice.
+// DefaultPolicy returns the policy in use; see docs/design/endpoint-choice.md.
 func DefaultPolicy() Policy { return &LeastLoaded{OwnOnly: true} }
 
 func wasTried(e *endpoint, tried []*endpoint) bool {
--- a/scheduler/interference.go
+++ b/scheduler/interference.go
@@ -32,7 +32,7 @@
 	Tolerated float64
 }
 
-// DefaultInterferenceParams are based on the traces in docs/MEASUREMENTS.md.
+// DefaultInterferenceParams are the usual parameters; see docs/design/interference.md.
 var DefaultInterferenceParams = InterferenceParams{Noise: 0.02, Drift: 1e-6, Prior: 0.1, Tolerated: 1.5}
 
 // loadLevels is the number of equal ranges into which load is divided.
