--- a/cell/owner.go
+++ b/cell/owner.go
@@ -21,8 +21,8 @@
 	// TaskLease is how long a worker may run tasks after the last clock reading
 	// that it sent.
 	TaskLease time.Duration
-	// OutageGrace is how long after the end of its own lease an owner goes on
-	// renewing the leases of running tasks. A new owner waits for it to pass
+	// OutageGrace is how long after the end of its own lease an owner continues to
+	// renew the leases of running tasks. A new owner waits for it to pass
 	// before it gives up a worker that it can't reach.
 	OutageGrace time.Duration
 	// ClockMargin covers the difference in rate between the clocks of two machines
@@ -36,13 +36,13 @@
 	// submissions and cancellations are refused.
 	StoreSilence time.Duration
 	// MaxFailures is the number of different workers on which a task must fail to
-	// fail for good. Twice as many failures in all have the same effect.
+	// fail permanently. Twice as many failures in all have the same effect.
 	MaxFailures int
 	// Retain is how long a finished task is kept.
 	Retain time.Duration
 	// EvictionsPerMinute is the eviction budget.
 	EvictionsPerMinute float64
-	// PlanEvery is the least time between two plans.
+	// PlanEvery is the minimum time between two plans.
 	PlanEvery time.Duration
 	// WorkerCalls bounds the concurrent calls to workers, so that a takeover or
 	// the end of an outage causes no burst of calls.
@@ -50,7 +50,7 @@
 	// NoSelfFence makes an owner continue after its lease. NoStartCommit sends
 	// starts to workers before they are durable, NoAckCommit acknowledges ended
 	// attempts before their ends are. NoTakeoverWait gives up unreachable workers
-	// at once. Tests use them to show that their checks detect it.
+	// at once. Tests use them to show that their checks detect the missing safeguard.
 	NoSelfFence, NoStartCommit, NoAckCommit, NoTakeoverWait bool
 }
 
@@ -244,7 +244,7 @@
 }
 
 // mayRenew reports whether this entry may renew leases of running tasks. A
-// store outage must not end them, so renewal goes on for a bounded time after the
+// store outage must not end them, so renewal continues for a bounded time after the
 // entry's own lease; see Params.OutageGrace.
 func (o *Owner) mayRenew(now time.Duration) bool {
 	if o.core.Phase() != shard.Owning && o.core.Phase() != shard.Releasing {
--- a/cell/table.go
+++ b/cell/table.go
@@ -30,7 +30,7 @@
 	Pending Phase = iota
 	// Assigned: an attempt exists and may be running.
 	Assigned
-	// Done: ended for good; the code says how.
+	// Done: permanently ended; the code says how.
 	Done
 )
 
--- a/dispatch/admit.go
+++ b/dispatch/admit.go
@@ -25,7 +25,8 @@
 	// Refused is set if the job would find no capacity while it is of use.
 	Refused bool
 	Reason  string
-	// RetryAfter is when capacity is expected.
+	// RetryAfter is the delay after which capacity is expected, bounded by minAdmitRetry and
+	// maxAdmitRetry.
 	RetryAfter time.Duration
 }
 
--- a/dispatch/evacuation.go
+++ b/dispatch/evacuation.go
@@ -4,10 +4,10 @@
 
 // A data centre is evacuated from when the operators request that until
 // they revoke it. Meanwhile its workers get no new tasks: no first start, no restart,
-// no member of a gang, no occurrence of a repeated job. Tasks that run there go on and
+// no member of a gang, no occurrence of a repeated job. Tasks that run there continue and
 // keep their leases: an evacuation only asks that nothing more is sent, and moving
 // long-running tasks would cost each of them a second or more of work. A task that
-// ends there by itself, and must run again, starts elsewhere. If all data centres
+// ends there on its own, and must run again, starts elsewhere. If all data centres
 // are evacuated, tasks wait.
 
 // SetEvacuated sets the data centres that are evacuated, whether they have
--- a/dispatch/maintenance.go
+++ b/dispatch/maintenance.go
@@ -63,7 +63,7 @@
 	vm string
 	// incarnation is the worker that is drained for the maintenance, empty before.
 	incarnation WorkerID
-	// drainUntil is until when tasks without checkpoints may go on.
+	// drainUntil is until when tasks without checkpoints may continue.
 	drainUntil time.Duration
 	// intended is set before the first order is given, and recorded: from then
 	// on the VM may be down. started is set once the platform has confirmed the order.
--- a/dispatch/maintenance_drain.go
+++ b/dispatch/maintenance_drain.go
@@ -11,7 +11,7 @@
 	// absenceLimit is the time after which a VM without a listed worker counts as
 	// vacant: a live worker is listed again within 2 s.
 	absenceLimit = 6 * time.Second
-	// minDrainTime and maxDrainTime bound how long tasks without checkpoints may go on at a VM
+	// minDrainTime and maxDrainTime bound how long tasks without checkpoints may continue at a VM
 	// that waits for its maintenance; drainSlack of the wave's time is left unplanned.
 	minDrainTime = 300 * time.Millisecond
 	maxDrainTime = 4 * time.Second
@@ -81,7 +81,7 @@
 	c.trace(Decision{Event: "vm_cordoned", Worker: w.info.ID, Reason: u.vm, Age: u.drainUntil - now.Steady})
 }
 
-// drainTimeout returns how long tasks without checkpoints may go on at a VM that is
+// drainTimeout returns how long tasks without checkpoints may continue at a VM that is
 // cordoned now: its share of the time that is left to the wave.
 func (c *Core) drainTimeout(s *waveState, now Instant) time.Duration {
 	remaining := 0
--- a/dispatch/restart_test.go
+++ b/dispatch/restart_test.go
@@ -272,7 +272,7 @@
 }
 
 // TestWorkerThatFirstReportsItsStartTime: an incarnation that was known by its id alone, as from an
-// entry without a start time, is the one that answers. Its runs go on and it has not crashed.
+// entry without a start time, is the one that answers. Its runs continue and it has not crashed.
 func TestWorkerThatFirstReportsItsStartTime(t *testing.T) {
 	x := newRestartCore(t)
 	x.incarnation = "w"
--- a/dispatch/sim_faults_test.go
+++ b/dispatch/sim_faults_test.go
@@ -18,7 +18,7 @@
 	// breakShare of the calls lose their connection before the answer, half of them
 	// after the call was carried out.
 	breakShare float64
-	// hiddenCopies: the transport then repeats the call by itself and reports to the
+	// hiddenCopies: the transport then repeats the call automatically and reports to the
 	// owner only the answer to the second copy.
 	hiddenCopies bool
 	// delayShare of the calls are carried out within a start's window, but get no
--- a/dispatch/sim_worker_test.go
+++ b/dispatch/sim_worker_test.go
@@ -175,7 +175,7 @@
 	return Answer{Outcome: OutcomeOK, ClockMS: w.clock()}
 }
 
-// stop ends a run. With slowStops it ends some time later, runs until then, and may end by itself
+// stop ends a run. With slowStops it ends some time later, runs until then, and may end on its own
 // before.
 func (w *simWorker) stop(r *simRun) {
 	if !w.sim.slowStops {
--- a/dispatch/unconfirmed_test.go
+++ b/dispatch/unconfirmed_test.go
@@ -10,7 +10,7 @@
 
 // TestUnansweredStartsBlameNoTask: starts that are lost on their way prove nothing about crashes of
 // their workers afterwards, whenever these come. Otherwise a job whose task crashes no worker fails
-// for good, though some of the counted runs have never started.
+// permanently, though some of the counted runs have never started.
 func TestUnansweredStartsBlameNoTask(t *testing.T) {
 	if testing.Short() {
 		t.Skip("long test, skipped with -short")
--- a/dispatch/worker.go
+++ b/dispatch/worker.go
@@ -109,7 +109,7 @@
 	fillAcceptance          float64       // see rateFillAcceptance
 	cordoned                bool          // its VM waits for maintenance: no new tasks
 	endedByMaintenance      bool          // the maintenance of its VM has ended this incarnation
-	slowUntil               time.Duration // until then short tasks go elsewhere if they can
+	slowUntil               time.Duration // until then only long-running tasks and tasks of starved jobs start here; see avoidsSlow
 	coldUntil               time.Duration // see WorkerInfo.Cold
 	slowStrikes             int           // times it was found slow; each doubles the next pause
 	slowness                float64       // logarithm of its run times relative to the usual ones, smoothed
--- a/entry/transport.go
+++ b/entry/transport.go
@@ -65,7 +65,7 @@
 func (t *transport) close() { t.current().CloseIdleConnections() }
 
 // unrewindableBody is a request body that can't be rewound. After a connection error
-// net/http retries a request by itself if the method is safe or an
+// net/http automatically retries a request if the method is safe or an
 // Idempotency-Key is set, and the body is empty or can be rewound. With this
 // body it never does, as the router decides on retries.
 type unrewindableBody struct{ io.Reader }
--- a/node/damagedrecords_test.go
+++ b/node/damagedrecords_test.go
@@ -25,7 +25,7 @@
 }
 
 // A worker whose entry is overwritten by an unreadable value gets no new tasks, and its
-// running tasks go on: such an entry does not mean that the worker drains.
+// running tasks continue: such an entry does not mean that the worker drains.
 func TestOverwrittenEntryStopsNothing(t *testing.T) {
 	c := newCell(t, 0, 0)
 	for i := range 2 {
@@ -67,8 +67,8 @@
 	}
 }
 
-// When one job's record, another one's progress, the list of workers with orders and the
-// estimates are damaged, the next owner goes on with all other jobs and starts nothing again.
+// When one job's record, another one's progress, the list of workers with orders and the stored
+// models are damaged, the next owner continues with all other jobs and starts nothing again.
 func TestDamagedRecordsBlockNothing(t *testing.T) {
 	c := newCell(t, 1, 2)
 	c.runJobs(1, 4)
--- a/node/load.go
+++ b/node/load.go
@@ -131,7 +131,7 @@
 			}
 		case learntKey:
 			if err := core.LoadModels(p.Value); err != nil {
-				// The record only saves time: the new owner learns again.
+				// The record only saves time: the new owner builds the models again.
 				n.logUnreadable("learnt_unreadable", p.Key, p.ModRevision, err)
 			}
 		}
--- a/node/record.go
+++ b/node/record.go
@@ -23,7 +23,7 @@
 	// maxFlushRosterParts is the most parts of the roster in one write, 5 KB each.
 	maxFlushRosterParts = 8
 	// idleFlushInterval is the pause after which a flush is tried without updates, to write
-	// the learnt values (estimates of run times and interference) and remove old records.
+	// the stored models (run times, interference, demand of short tasks) and remove old records.
 	idleFlushInterval = 3 * time.Second
 	// flushTimeout bounds one write; a slow store takes 400 ms.
 	flushTimeout = 700 * time.Millisecond
@@ -76,9 +76,9 @@
 	if err == nil {
 		records, err = o.core.Records(maxFlushRecords - len(roster))
 	}
-	var learnt []byte
+	var models []byte
 	if now := o.now(); err == nil && o.core.ModelsDue(now) {
-		learnt, err = o.core.EncodeModels(now)
+		models, err = o.core.EncodeModels(now)
 	}
 	var unread []byte
 	if err == nil {
@@ -94,14 +94,14 @@
 		return false
 	}
 	if len(records) == 0 && len(roster) == 0 && unread == nil && wave == nil {
-		// Learnt values are due at each idle flush; the removal of old records must not
+		// The stored models are due at each idle flush; the removal of old records must not
 		// wait for a flush without them.
-		if removed := o.removeExpired(ctx); !removed || learnt == nil {
+		if removed := o.removeExpired(ctx); !removed || models == nil {
 			return removed
 		}
 	}
 	began := o.node.clock()
-	ok := o.write(ctx, append(o.recordOps(records, roster, unread, learnt), o.node.waveOps(wave)...))
+	ok := o.write(ctx, append(o.recordOps(records, roster, unread, models), o.node.waveOps(wave)...))
 	o.node.metrics.flush.UpdateDuration(time.Now().Add(began - o.node.clock()))
 	if !ok {
 		return false
@@ -124,8 +124,8 @@
 }
 
 // recordOps returns the writes of the given records of jobs, parts of the roster, unread
-// workers and learnt values.
-func (o *owner) recordOps(records []dispatch.Record, roster []dispatch.RosterPart, unread, learnt []byte) []kv.Op {
+// workers and stored models.
+func (o *owner) recordOps(records []dispatch.Record, roster []dispatch.RosterPart, unread, models []byte) []kv.Op {
 	var ops []kv.Op
 	if unread != nil {
 		ops = append(ops, kv.Put(unreadKey, unread, 0))
@@ -136,8 +136,8 @@
 	for _, part := range roster {
 		ops = append(ops, kv.Put(rosterPartKey(part.Number), part.Value, 0))
 	}
-	if learnt != nil {
-		ops = append(ops, kv.Put(learntKey, learnt, 0))
+	if models != nil {
+		ops = append(ops, kv.Put(learntKey, models, 0))
 	}
 	for _, r := range records {
 		ops = append(ops, kv.Put(progressPrefix+r.Job, r.Value, 0))
--- a/node/repeated_start_test.go
+++ b/node/repeated_start_test.go
@@ -12,7 +12,7 @@
 // once, with both runs ordered by the same owner within its term.
 //
 // The first start is carried out, but its connection breaks before the answer. The client of
-// workers sends the call again by itself, and the worker, which refuses work for a short time,
+// workers repeats the call automatically, and the worker, which refuses work for a short time,
 // refuses this copy. An owner that sees only the refusal takes the task for not running and
 // starts it on another worker; with nothing else of its own on the first worker, it does not
 // poll that one again, never stops the first run, and acknowledges its end. A refusal proves
--- a/node/store.go
+++ b/node/store.go
@@ -77,7 +77,8 @@
 	// unreadKey holds the tasks that may have run at workers which were lost before the
 	// owner read their lists.
 	unreadKey = "ls/own/unheard"
-	// learntKey holds the owner's estimates of run times and interference.
+	// learntKey holds the owner's stored models: the estimates of run times and interference,
+	// and the demand of short tasks.
 	learntKey = "ls/own/learnt"
 	// intakePrefix holds the intake: the jobs and cancellations that entries record for the
 	// owner.
--- a/soak/checks_test.go
+++ b/soak/checks_test.go
@@ -80,8 +80,8 @@
 	faultFreeFor   = 3 * time.Second
 )
 
-// checkCrashes finds tasks that were started too often after they had crashed their workers,
-// by entries that had no recent fault.
+// checkCrashes finds tasks that were started too often after they had crashed their workers. It
+// counts only starts later than faultFreeFor after the end of all faults.
 func (w *world) checkCrashes(task string, list []wiretest.RunRecord) {
 	crashes, after := 0, 0
 	for _, r := range list {
